--- a/packages/coordination/src/authority/acknowledgement.ts
+++ b/packages/coordination/src/authority/acknowledgement.ts
@@ -13,7 +13,7 @@
 import type { UpstreamReport } from '../model/upstream-report.js';
 
 /** Decision on a commit that waits to be confirmed. */
-export enum AckVerdict {
+export enum AckDecision {
   /** The commit can't be lost: confirm it. */
   Confirmed = 'confirmed',
   /** More evidence is needed. */
@@ -36,7 +36,7 @@
 
 /** A rule that decides when commits are confirmed. */
 export interface AcknowledgementRule {
-  decide(input: AckInput): AckVerdict;
+  decide(input: AckInput): AckDecision;
 }
 
 /**
@@ -47,15 +47,15 @@
  * a term that is claimed but not part of the lineage proves nothing: its log may lack the commit.
  */
 export class MajorityRule implements AcknowledgementRule {
-  decide(input: AckInput): AckVerdict {
+  decide(input: AckInput): AckDecision {
     const { position, record, members, reports } = input;
     if (isDiscarded(position, record.lineage)) {
-      return isFinallyDiscarded(input) ? AckVerdict.Superseded : AckVerdict.Waiting;
+      return isFinallyDiscarded(input) ? AckDecision.Superseded : AckDecision.Waiting;
     }
     const confirmed = record.lineage
       .filter((entry) => entry.term >= position.term)
-      .some((entry) => coveredOffset(members, reports, entry.term) >= position.offset);
-    return confirmed ? AckVerdict.Confirmed : AckVerdict.Waiting;
+      .some((entry) => majorityOffset(members, reports, entry.term) >= position.offset);
+    return confirmed ? AckDecision.Confirmed : AckDecision.Waiting;
   }
 }
 
@@ -80,8 +80,8 @@
 
 /** Confirms every commit of the primary at once. Unsafe; exists as the baseline of measurements. */
 export class PrimaryCommitRule implements AcknowledgementRule {
-  decide(): AckVerdict {
-    return AckVerdict.Confirmed;
+  decide(): AckDecision {
+    return AckDecision.Confirmed;
   }
 }
 
@@ -90,7 +90,7 @@
  *
  * @returns the offset, or 0 when no majority reports the term.
  */
-export function coveredOffset(
+export function majorityOffset(
   members: readonly UpstreamId[],
   reports: readonly UpstreamReport[],
   term: number,
--- a/packages/coordination/src/authority/authority.ts
+++ b/packages/coordination/src/authority/authority.ts
@@ -8,8 +8,8 @@
  * say that they have acknowledged no claim. Whoever changes a primary needs the acknowledgement of
  * more than half as well, so one host at least answers both, and it answers the renewal first.
  */
-import type { Birth } from '../membership/upstream-identity.js';
-import { mayBeSameBirth } from '../membership/upstream-identity.js';
+import type { StartTime } from '../membership/upstream-identity.js';
+import { mayBeSameStartTime } from '../membership/upstream-identity.js';
 import type { UpstreamId } from '../model/ids.js';
 import type { PrimaryRecord } from './primary-record.js';
 import { RecordPhase } from './primary-record.js';
@@ -17,14 +17,14 @@
 /** Times of the proofs. */
 export interface AuthorityRules {
   /** Time for which a proof counts, from the sending of the read, milliseconds. */
-  readonly proofLifeMs: number;
+  readonly proofTtlMs: number;
   /** Added when the end of another host's proof is waited for, milliseconds; covers clock rates. */
   readonly marginMs: number;
   /**
    * Time for which the list of hosts may be used for renewals, milliseconds. Hosts that join meanwhile
    * are not in it; too many of them could outvote it.
    */
-  readonly listLifeMs: number;
+  readonly hostListTtlMs: number;
 }
 
 /**
@@ -32,9 +32,9 @@
  * once (`DEFAULT_PROOFS` and `DEFAULT_SYNC` of the gateway), so that one failed renewal does no harm. docs/PLATFORM.md compares it with 1.5 s, and that with 3 s.
  */
 export const DEFAULT_AUTHORITY: AuthorityRules = {
-  proofLifeMs: 1000,
+  proofTtlMs: 1000,
   marginMs: 100,
-  listLifeMs: 20_000,
+  hostListTtlMs: 20_000,
 };
 
 /** What a host knows when it asks whether it may use the primary. */
@@ -43,7 +43,7 @@
   /** Local time at which the read behind the newest proof was sent; -Infinity without one. */
   readonly provedAt: number;
   /** Birth that the entry of the record's primary tells; missing where it tells none. */
-  readonly primaryBorn?: Birth;
+  readonly primaryStartTime?: StartTime;
 }
 
 /**
@@ -52,7 +52,7 @@
  */
 export function hasAuthority(view: AuthorityView, now: number, rules: AuthorityRules): boolean {
   if (view.record?.phase !== RecordPhase.Serving) return false;
-  if (!mayBeSameBirth(view.record.born, view.primaryBorn)) return false;
+  if (!mayBeSameStartTime(view.record.born, view.primaryStartTime)) return false;
   return !isIsolated(view.provedAt, now, rules);
 }
 
@@ -61,7 +61,7 @@
  * proof, or it never had one. While the store is away for everybody, the hosts renew one another.
  */
 export function isIsolated(provedAt: number, now: number, rules: AuthorityRules): boolean {
-  return now - provedAt >= rules.proofLifeMs;
+  return now - provedAt >= rules.proofTtlMs;
 }
 
 /**
@@ -69,7 +69,7 @@
  * was sent, that epoch is still in force, and the proof still valid. A question may have been meant for an upstream
  * before it waited, and sent under a record that names another one by then.
  */
-export function answerCounts(
+export function isAnswerValid(
   sentUnder: PrimaryRecord,
   answeredBy: UpstreamId,
   view: AuthorityView,
@@ -84,8 +84,8 @@
  * When a host that does not answer has surely given the former primary up: its proof is from before
  * the claim, or was renewed before more than half of the hosts had acknowledged the claim.
  */
-export function silentHostFreeAt(majorityAckedAt: number, rules: AuthorityRules): number {
-  return majorityAckedAt + rules.proofLifeMs + rules.marginMs;
+export function proofsExpiredAt(majorityAckedAt: number, rules: AuthorityRules): number {
+  return majorityAckedAt + rules.proofTtlMs + rules.marginMs;
 }
 
 /** Whether `count` hosts are more than half of `listed`. */
@@ -104,7 +104,7 @@
 }
 
 /** Whether a renewal by other hosts counts at `now`. */
-export function renewalCounts(renewal: PeerRenewal, now: number, rules: AuthorityRules): boolean {
-  if (now - renewal.listReadAt > rules.listLifeMs) return false;
+export function isRenewalValid(renewal: PeerRenewal, now: number, rules: AuthorityRules): boolean {
+  if (now - renewal.listReadAt > rules.hostListTtlMs) return false;
   return isMajority(renewal.answered, renewal.listed);
 }
--- a/packages/coordination/src/authority/damping.ts
+++ b/packages/coordination/src/authority/damping.ts
@@ -13,9 +13,9 @@
   /** Longest backoff, milliseconds. */
   readonly maxBackoffMs: number;
   /** Time after a promotion in which suspicion must last longer, milliseconds. */
-  readonly calmMs: number;
+  readonly stabilizationMs: number;
   /** Factor by which it must last longer. */
-  readonly calmFactor: number;
+  readonly stabilizationFactor: number;
 }
 
 /** Damping with default settings. */
@@ -23,20 +23,20 @@
   rankDelayMs: 150,
   backoffMs: 200,
   maxBackoffMs: 3000,
-  calmMs: 30_000,
-  calmFactor: 2,
+  stabilizationMs: 30_000,
+  stabilizationFactor: 2,
 };
 
 /** Suspicion time needed at `now`, milliseconds, given the time of the last promotion. */
-export function neededSuspicionMs(
+export function requiredSuspicionMs(
   suspectAfterMs: number,
   lastPromotionAt: number | undefined,
   now: number,
   rules: DampingRules,
 ): number {
   if (lastPromotionAt === undefined) return suspectAfterMs;
-  const calm = now - lastPromotionAt < rules.calmMs;
-  return calm ? suspectAfterMs * rules.calmFactor : suspectAfterMs;
+  const calm = now - lastPromotionAt < rules.stabilizationMs;
+  return calm ? suspectAfterMs * rules.stabilizationFactor : suspectAfterMs;
 }
 
 /** Wait before attempt number `attempt` (0 for the first) of the home with this rank, milliseconds. */
--- a/packages/coordination/src/authority/failover.ts
+++ b/packages/coordination/src/authority/failover.ts
@@ -2,7 +2,7 @@
  * Decisions about changing a group's primary: when to suspect it, who acts, which upstream follows
  * it, and when a host may call for promotions.
  */
-import type { Birth } from '../membership/upstream-identity.js';
+import type { StartTime } from '../membership/upstream-identity.js';
 import type { HostId, UpstreamId } from '../model/ids.js';
 import type { Position } from '../reads/position.js';
 import type { NamedSuccessor, PrimaryRecord } from './primary-record.js';
@@ -17,9 +17,9 @@
   /** Time after which a claim that has not ended may be taken over, milliseconds. */
   readonly stalledAfterMs: number;
   /** Time from a claim of the duty in which its holder may call, milliseconds. */
-  readonly dutyWindowMs: number;
+  readonly leaseWindowMs: number;
   /** Time that must lie between the windows of two holders, milliseconds. */
-  readonly dutyGapMs: number;
+  readonly leaseGapMs: number;
 }
 
 /**
@@ -32,8 +32,8 @@
   suspectAfterMs: 250,
   rankDelayMs: 50,
   stalledAfterMs: 3500,
-  dutyWindowMs: 4000,
-  dutyGapMs: 2000,
+  leaseWindowMs: 4000,
+  leaseGapMs: 2000,
 };
 
 /** What the hosts that were asked say about a suspected primary. */
@@ -47,7 +47,7 @@
 }
 
 /** What to do about a suspected primary. */
-export enum FailoverVerdict {
+export enum FailoverDecision {
   Promote = 'promote',
   Wait = 'wait',
 }
@@ -57,22 +57,22 @@
  * some of each zone, have to miss it: hosts that are cut off themselves are never that many, and must
  * not act on what only they see.
  */
-export function judgeSuspicion(
+export function decideFailover(
   evidence: ReachEvidence,
   failedMs: number,
   rules: FailoverRules,
-): FailoverVerdict {
+): FailoverDecision {
   const { reaching, failing, silent } = evidence;
   const asked = reaching + failing + silent;
-  if (failing * 2 <= asked) return FailoverVerdict.Wait;
-  return failedMs >= rules.suspectAfterMs ? FailoverVerdict.Promote : FailoverVerdict.Wait;
+  if (failing * 2 <= asked) return FailoverDecision.Wait;
+  return failedMs >= rules.suspectAfterMs ? FailoverDecision.Promote : FailoverDecision.Wait;
 }
 
 /** What an upstream reported, for the choice of a successor. */
 export interface SuccessorReport {
   readonly id: UpstreamId;
   /** Birth that its entry told when it reported; missing where it told none. */
-  readonly born?: Birth;
+  readonly born?: StartTime;
   readonly isPrimary: boolean;
   readonly term: number;
   readonly received: Position;
@@ -144,7 +144,7 @@
  * Whether a planned change had better end with the former primary: it reports, and nobody who could
  * follow holds all of its commits. An upstream that leads already is followed whatever it lacks.
  */
-export function keepsFormer(
+export function shouldKeepFormerPrimary(
   chosen: SuccessorReport | undefined,
   former: SuccessorReport | undefined,
 ): boolean {
@@ -153,7 +153,7 @@
 }
 
 /** What a host knows of the upstream that a claim has named. */
-export interface NamedStanding {
+export interface SuccessorStatus {
   /** Whether it has an entry, and has not started anew since it was named. */
   readonly isThere: boolean;
   readonly isEvacuated: boolean;
@@ -165,9 +165,9 @@
  * The upstream that the claim after `claim` has to name as well. A call for it may take effect at any time, however
  * long ago it was made or given up, so no other one is called for while it could.
  */
-export function keptSuccessor(
+export function retainedSuccessor(
   claim: PrimaryRecord,
-  standing: NamedStanding,
+  standing: SuccessorStatus,
 ): NamedSuccessor | undefined {
   const { isThere, isEvacuated, isRefused } = standing;
   return isThere && !isEvacuated && !isRefused ? claim.successor : undefined;
@@ -181,7 +181,7 @@
 }
 
 /** The duty record as seen by a host. */
-export interface SeenDuty {
+export interface SeenPromotionLease {
   readonly holder: HostId;
   readonly incarnation: number;
   readonly fence: number;
@@ -190,7 +190,7 @@
 }
 
 /** Whether and with which fence a host may take the duty. */
-export type DutyClaim =
+export type PromotionLeaseClaim =
   | { readonly kind: 'take'; readonly fence: number }
   /** Another host may still be calling; its window is over at that local time. */
   | { readonly kind: 'wait'; readonly until: number };
@@ -199,18 +199,18 @@
  * How a host may take the duty at `now`. Another holder's window is waited out, counted from when
  * its record was seen, which is later than its begin.
  */
-export function claimDuty(
-  seen: SeenDuty | undefined,
+export function claimPromotionLease(
+  seen: SeenPromotionLease | undefined,
   self: { readonly host: HostId; readonly incarnation: number },
   now: number,
   rules: FailoverRules,
-): DutyClaim {
+): PromotionLeaseClaim {
   if (seen === undefined) return { kind: 'take', fence: 1 };
   if (seen.holder === self.host) {
     const same = seen.incarnation === self.incarnation;
     return { kind: 'take', fence: same ? seen.fence : seen.fence + 1 };
   }
-  const until = dutyFreeAt(seen, rules);
+  const until = promotionLeaseFreeAt(seen, rules);
   if (now < until) return { kind: 'wait', until };
   return { kind: 'take', fence: seen.fence + 1 };
 }
@@ -219,18 +219,18 @@
  * The order in which hosts act on suspected primaries: the holder of the duty goes first for as long
  * as nobody else may call, so that one change of primary does not hold the next one up.
  */
-export function actingOrder(
+export function failoverOrder(
   ranked: readonly HostId[],
-  seen: SeenDuty | undefined,
+  seen: SeenPromotionLease | undefined,
   now: number,
   rules: FailoverRules,
 ): readonly HostId[] {
-  if (seen === undefined || now >= dutyFreeAt(seen, rules)) return ranked;
+  if (seen === undefined || now >= promotionLeaseFreeAt(seen, rules)) return ranked;
   if (!ranked.includes(seen.holder)) return ranked;
   return [seen.holder, ...ranked.filter((host) => host !== seen.holder)];
 }
 
 /** When a host that does not hold the duty may take it. */
-function dutyFreeAt(seen: SeenDuty, rules: FailoverRules): number {
-  return seen.seenAt + rules.dutyWindowMs + rules.dutyGapMs;
+function promotionLeaseFreeAt(seen: SeenPromotionLease, rules: FailoverRules): number {
+  return seen.seenAt + rules.leaseWindowMs + rules.leaseGapMs;
 }
--- a/packages/coordination/src/authority/primary-gap.ts
+++ b/packages/coordination/src/authority/primary-outage.ts
@@ -5,9 +5,9 @@
  */
 
 /** What a host knows of a group that it can't use the primary of; all times are local milliseconds. */
-export interface GapView {
+export interface OutageView {
   /** Since when this host has had no valid proof; undefined while it has one. */
-  readonly unprovenSince: number | undefined;
+  readonly unprovedSince: number | undefined;
   /** When the claim in force was first seen; undefined while the record says that a primary serves. */
   readonly claimedAt: number | undefined;
   /** Since when the primary has failed this host; undefined while it answers. */
@@ -15,7 +15,7 @@
 }
 
 /** How long the parts of a gap take. */
-export interface GapPace {
+export interface OutageEstimates {
   /** Usual time from the claim to the record of the next primary, milliseconds; observed. */
   readonly promotionMs: number;
   /** Time from the first failure until the primary is claimed, or a host is found that reaches it, milliseconds. */
@@ -28,7 +28,10 @@
  * 500 ms: 250 ms of suspicion, the question to the other hosts, and the claim. 250 ms: proofs come
  * every 300 ms, and a host without one asks others every 180 ms.
  */
-export const DEFAULT_GAP: Omit<GapPace, 'promotionMs'> = { suspicionMs: 500, renewalMs: 250 };
+export const DEFAULT_OUTAGE_ESTIMATES: Omit<OutageEstimates, 'promotionMs'> = {
+  suspicionMs: 500,
+  renewalMs: 250,
+};
 
 /** Age from which a lost proof is known to be no passing matter, milliseconds: several renewals failed. */
 const CUT_OFF_MS = 1000;
@@ -43,12 +46,12 @@
 const UNKNOWN_CAUSE_MS = 200;
 
 /** Local time at which the primary is expected to be usable again. */
-export function expectedGapEnd(view: GapView, pace: GapPace, now: number): number {
-  const { unprovenSince, claimedAt, failingSince } = view;
+export function expectedOutageEnd(view: OutageView, pace: OutageEstimates, now: number): number {
+  const { unprovedSince, claimedAt, failingSince } = view;
   const ends: number[] = [];
-  if (unprovenSince !== undefined) {
-    const restMs = now - unprovenSince < CUT_OFF_MS ? 0 : CUT_MS;
-    ends.push(unlessOverdue(unprovenSince + pace.renewalMs, restMs, now));
+  if (unprovedSince !== undefined) {
+    const restMs = now - unprovedSince < CUT_OFF_MS ? 0 : CUT_MS;
+    ends.push(unlessOverdue(unprovedSince + pace.renewalMs, restMs, now));
   }
   if (claimedAt !== undefined) {
     ends.push(unlessOverdue(claimedAt + pace.promotionMs, 0, now));
@@ -71,7 +74,11 @@
 const HOLD_SHARE = 0.75;
 
 /** Whether a statement that arrived at `arrivedAt` should wait until `expectedAt`, or be refused at once. */
-export function isWorthHolding(expectedAt: number, arrivedAt: number, timeoutMs: number): boolean {
+export function shouldHoldStatement(
+  expectedAt: number,
+  arrivedAt: number,
+  timeoutMs: number,
+): boolean {
   return expectedAt <= arrivedAt + timeoutMs * HOLD_SHARE;
 }
 
@@ -79,6 +86,6 @@
 const PACE_WEIGHT = 0.5;
 
 /** The usual time of a promotion after one more took `tookMs`. */
-export function learnPromotionMs(promotionMs: number, tookMs: number): number {
+export function updatedPromotionMs(promotionMs: number, tookMs: number): number {
   return promotionMs + (tookMs - promotionMs) * PACE_WEIGHT;
 }
--- a/packages/coordination/src/authority/primary-record.ts
+++ b/packages/coordination/src/authority/primary-record.ts
@@ -1,7 +1,7 @@
 /**
  * What the metadata store holds of a group's primary, and the order of two versions of it.
  */
-import type { Birth, UpstreamIdentity } from '../membership/upstream-identity.js';
+import type { StartTime, UpstreamIdentity } from '../membership/upstream-identity.js';
 import type { GroupId, HostId, UpstreamId } from '../model/ids.js';
 import type { Position } from '../reads/position.js';
 
@@ -30,7 +30,7 @@
   /** The primary; while claimed, the former one. */
   readonly primary: UpstreamId;
   /** Birth of the primary, as it told when it was named; missing where it told none. */
-  readonly born?: Birth;
+  readonly born?: StartTime;
   /** Host that claimed this epoch. */
   readonly holder: HostId;
   /** While claimed: the only upstream that may be called for; missing until one is named. */
@@ -85,7 +85,7 @@
 }
 
 /** Whether a host that holds `held` uses nothing any more that the claim takes away. */
-export function isGivenUp(held: PrimaryRecord, claim: PrimaryRecord): boolean {
+export function acknowledgesClaim(held: PrimaryRecord, claim: PrimaryRecord): boolean {
   if (held.epoch !== claim.epoch) return held.epoch > claim.epoch;
   return held.phase === RecordPhase.Claimed;
 }
--- a/packages/coordination/src/authority/reach-sample.ts
+++ b/packages/coordination/src/authority/reach-sample.ts
@@ -8,7 +8,7 @@
  * than half of all hosts have to give the former primary up.
  */
 import type { AzId, HostId } from '../model/ids.js';
-import { topCandidates } from '../places/rendezvous.js';
+import { topCandidates } from '../placement/rendezvous.js';
 
 /**
  * Hosts of each zone that are asked. 4: no single host of a zone decides for it, and at the sizes of
--- a/packages/coordination/src/authority/reconcile.ts
+++ b/packages/coordination/src/authority/reconcile.ts
@@ -9,7 +9,7 @@
 import { UpstreamRole } from '../model/upstream-report.js';
 
 /** Upstreams that have to be told to follow the record's primary. */
-export function upstreamsToFollow(
+export function upstreamsToRepoint(
   spec: GroupSpec,
   record: GroupRecord,
   reports: readonly UpstreamReport[],
--- a/packages/coordination/src/authority/renewal-order.ts
+++ b/packages/coordination/src/authority/renewal-order.ts
@@ -9,7 +9,7 @@
  */
 
 /** Where a host stands in the order in which news are passed on. */
-export interface RenewalPlace {
+export interface RenewalRank {
   /** Place of its zone; the store is read in that of place 0. */
   readonly zone: number;
   /** Place of the host in its zone. */
@@ -40,10 +40,10 @@
 /**
  * Age of its proof from which a host asks, milliseconds.
  *
- * @param isSpread whether hosts stand in several regions
+ * @param isMultiRegion whether hosts stand in several regions
  */
-export function renewalDueAge({ zone, rank }: RenewalPlace, isSpread = false): number {
-  const firstAtMs = isSpread ? FIRST_AT_MS - FAR_LEAD_MS : FIRST_AT_MS;
+export function renewalDueAge({ zone, rank }: RenewalRank, isMultiRegion = false): number {
+  const firstAtMs = isMultiRegion ? FIRST_AT_MS - FAR_LEAD_MS : FIRST_AT_MS;
   return firstAtMs + Math.min(zone, LAST_ZONE_STEP) * ZONE_STEP_MS + rank * RANK_STEP_MS;
 }
 
@@ -53,7 +53,7 @@
  * @param failed rounds in a row that did not count
  * @param isIsolated whether its proof has run out; a later host does not ask before
  */
-export function renewalPause(place: RenewalPlace, failed: number, isIsolated: boolean): number {
+export function renewalIntervalMs(place: RenewalRank, failed: number, isIsolated: boolean): number {
   const later = place.rank - FIRST_RANKS + 1;
   if (later <= 0) return Math.min(MAX_PAUSE_MS, PAUSE_MS * 2 ** failed);
   return isIsolated ? later * LATE_PAUSE_MS : Number.POSITIVE_INFINITY;
--- a/packages/coordination/src/authority/suspicion.ts
+++ b/packages/coordination/src/authority/suspicion.ts
@@ -4,9 +4,9 @@
  * covers a dead primary, a hung one, one cut off from its replicas while callers reach it, and
  * one whose writes no replica receives.
  */
-import { coveredOffset } from './acknowledgement.js';
-import type { PrimaryMarks } from '../reads/data-age.js';
-import { provedAge } from '../reads/data-age.js';
+import { majorityOffset } from './acknowledgement.js';
+import type { PrimaryWatermarks } from '../reads/watermarks.js';
+import { provedAge } from '../reads/watermarks.js';
 import type { GroupRecord, GroupSpec } from '../model/group.js';
 import { majorityOf } from '../model/group.js';
 import type { AzId } from '../model/ids.js';
@@ -16,7 +16,7 @@
 export interface SuspicionInput {
   readonly spec: GroupSpec;
   readonly record: GroupRecord;
-  readonly marks: PrimaryMarks;
+  readonly marks: PrimaryWatermarks;
   /** Latest report of each upstream. */
   readonly reports: readonly UpstreamReport[];
   /** Time up to which the primary's authority is proved, local milliseconds. */
@@ -29,7 +29,7 @@
 export function unconfirmableMs(input: SuspicionInput, now: number): number {
   const { spec, record, marks, reports, authority, watchingSince } = input;
   const members = spec.upstreams.map((upstream) => upstream.id);
-  const covered = { term: record.term, offset: coveredOffset(members, reports, record.term) };
+  const covered = { term: record.term, offset: majorityOffset(members, reports, record.term) };
   const ageMs = provedAge({ marks, lineage: record.lineage, authority }, covered, now);
   return Math.min(ageMs, now - watchingSince);
 }
@@ -40,13 +40,16 @@
 }
 
 /** What the homes of one zone say. */
-export interface ZoneOpinion {
+export interface ZoneVote {
   readonly az: AzId;
   readonly suspects: boolean;
 }
 
 /** Whether the homes of a majority of the group's zones suspect the primary. */
-export function isAgreed(zones: readonly AzId[], opinions: readonly ZoneOpinion[]): boolean {
+export function isSuspectedByMajority(
+  zones: readonly AzId[],
+  opinions: readonly ZoneVote[],
+): boolean {
   const suspecting = zones.filter((az) =>
     opinions.some((opinion) => opinion.az === az && opinion.suspects),
   );
--- a/packages/coordination/src/authority/unreadable-documents.ts
+++ b/packages/coordination/src/authority/unreadable-documents.ts
@@ -5,7 +5,7 @@
 import type { GroupId } from '../model/ids.js';
 import { hostId, upstreamId } from '../model/ids.js';
 import type { StorePosition } from '../model/store-position.js';
-import type { SeenDuty } from './failover.js';
+import type { SeenPromotionLease } from './failover.js';
 import type { PrimaryRecord } from './primary-record.js';
 import { RecordPhase } from './primary-record.js';
 
@@ -33,7 +33,7 @@
  * A record that can't be read counts as claimed by an unknown host: nobody uses the primary, and hosts take the
  * claim over as any other that stalls. The record it stands in for may have named another primary than `former`.
  */
-export function recordInDoubt(
+export function placeholderRecord(
   group: GroupId,
   former: PrimaryRecord | undefined,
   position: StorePosition,
@@ -49,11 +49,11 @@
 }
 
 /** A duty that can't be read counts as just taken by an unknown host: its window is waited out. */
-export function dutyInDoubt(
-  former: SeenDuty | undefined,
+export function placeholderPromotionLease(
+  former: SeenPromotionLease | undefined,
   position: StorePosition,
   seenAt: number,
-): SeenDuty {
+): SeenPromotionLease {
   const fence = Math.max(numberBound(position), (former?.fence ?? 0) + 1);
   return { holder: UNKNOWN_HOST, incarnation: 0, fence, seenAt };
 }
--- a/packages/coordination/src/load/connection-share.ts
+++ b/packages/coordination/src/load/connection-share.ts
@@ -4,9 +4,9 @@
  * Where connections serve one workspace each and there are more workspaces than a home has
  * connections, one host of each zone is a home.
  */
-import { homesOf } from '../places/homes.js';
+import { homesOf } from '../placement/homes.js';
 import type { AzId, GroupId, HostId, WorkspaceId } from '../model/ids.js';
-import { rankCandidates } from '../places/rendezvous.js';
+import { rankCandidates } from '../placement/rendezvous.js';
 
 /** A host as far as homes are concerned. */
 export interface HomeCandidate {
@@ -19,11 +19,11 @@
   /** Part of an upstream's connections that is used; the rest covers hosts that come and go. */
   readonly usableShare: number;
   /** Connections for each statement that an upstream runs at once; more only make its queue longer. */
-  readonly perSlot: number;
+  readonly connectionsPerSlot: number;
   /** Least number of connections for which it is worth being a home. */
-  readonly leastPerHome: number;
+  readonly minConnectionsPerHome: number;
   /** Part of an upstream's connections that is used where each serves one workspace. */
-  readonly boundShare: number;
+  readonly dedicatedShare: number;
 }
 
 /**
@@ -36,13 +36,13 @@
  */
 export const DEFAULT_SHARES: ShareRules = {
   usableShare: 0.6,
-  perSlot: 6,
-  leastPerHome: 2,
-  boundShare: 0.9,
+  connectionsPerSlot: 6,
+  minConnectionsPerHome: 2,
+  dedicatedShare: 0.9,
 };
 
 /** What upstreams of a group allow. */
-export interface UpstreamRoom {
+export interface UpstreamCapacity {
   /** Connections to one upstream over all hosts. */
   readonly connections: number;
   /** Statements that one upstream runs at once. */
@@ -56,7 +56,7 @@
   readonly homes: ReadonlyMap<AzId, readonly HostId[]>;
   readonly connectionsPerHome: number;
   /** Whether connections serve one workspace each, and are too few for all at once. */
-  readonly isBound: boolean;
+  readonly isDedicated: boolean;
   /**
    * Connections that one home may hold to one upstream: by the upstream's zone, then by the home's. Missing
    * where every home holds `connectionsPerHome`.
@@ -68,7 +68,7 @@
 export function planHomes(
   group: GroupId,
   zones: ReadonlyMap<AzId, readonly HostId[]>,
-  room: UpstreamRoom,
+  room: UpstreamCapacity,
   rules: ShareRules = DEFAULT_SHARES,
 ): HomePlan {
   const shared = planShared(group, zones, room, rules);
@@ -77,38 +77,50 @@
 }
 
 /** Connections to one upstream that the homes of a group may hold together. */
-export function usableConnections(room: UpstreamRoom, rules: ShareRules = DEFAULT_SHARES): number {
-  return Math.min(allowedConnections(room, rules), room.slots * rules.perSlot);
+export function usableConnections(
+  room: UpstreamCapacity,
+  rules: ShareRules = DEFAULT_SHARES,
+): number {
+  return Math.min(allowedConnections(room, rules), room.slots * rules.connectionsPerSlot);
 }
 
 /** Connections that may be held beyond `usableConnections`, for homes that seldom need them. */
-export function spareConnections(room: UpstreamRoom, rules: ShareRules = DEFAULT_SHARES): number {
+export function spareConnections(
+  room: UpstreamCapacity,
+  rules: ShareRules = DEFAULT_SHARES,
+): number {
   return allowedConnections(room, rules) - usableConnections(room, rules);
 }
 
-function allowedConnections(room: UpstreamRoom, rules: ShareRules): number {
+function allowedConnections(room: UpstreamCapacity, rules: ShareRules): number {
   return Math.floor(room.connections * rules.usableShare);
 }
 
 /** Connections to one upstream that the homes may hold together where each serves one workspace. */
-export function boundConnections(room: UpstreamRoom, rules: ShareRules = DEFAULT_SHARES): number {
-  return Math.floor(room.connections * rules.boundShare);
+export function dedicatedConnections(
+  room: UpstreamCapacity,
+  rules: ShareRules = DEFAULT_SHARES,
+): number {
+  return Math.floor(room.connections * rules.dedicatedShare);
 }
 
 /** Homes of every zone for the callers of that zone. */
 function planShared(
   group: GroupId,
   zones: ReadonlyMap<AzId, readonly HostId[]>,
-  room: UpstreamRoom,
+  room: UpstreamCapacity,
   rules: ShareRules,
 ): HomePlan {
   const usable = usableConnections(room, rules);
-  const perZone = Math.max(1, Math.floor(usable / (Math.max(1, zones.size) * rules.leastPerHome)));
+  const perZone = Math.max(
+    1,
+    Math.floor(usable / (Math.max(1, zones.size) * rules.minConnectionsPerHome)),
+  );
   const homes = homesOfZones(group, zones, perZone);
   return {
     homes,
     connectionsPerHome: partOf(usable, homes),
-    isBound: false,
+    isDedicated: false,
   };
 }
 
@@ -116,15 +128,15 @@
 function planBound(
   group: GroupId,
   zones: ReadonlyMap<AzId, readonly HostId[]>,
-  room: UpstreamRoom,
+  room: UpstreamCapacity,
   rules: ShareRules,
 ): HomePlan {
   const homes = homesOfZones(group, zones, 1);
-  const usable = boundConnections(room, rules);
+  const usable = dedicatedConnections(room, rules);
   return {
     homes,
     connectionsPerHome: partOf(usable, homes),
-    isBound: true,
+    isDedicated: true,
   };
 }
 
--- a/packages/coordination/src/load/demand-share.ts
+++ b/packages/coordination/src/load/local-limiter.ts
@@ -6,7 +6,7 @@
  */
 
 /** Counts of one workspace on one host, by windows of fixed length. */
-export class DemandShare {
+export class LocalLimiter {
   /** Number of the window that `current` counts. */
   private window = Number.NEGATIVE_INFINITY;
   private current = 0;
@@ -15,13 +15,13 @@
   constructor(private readonly windowMs: number) {}
 
   /** Notes an operation that was admitted at `now`. */
-  note(now: number): void {
+  recordAdmission(now: number): void {
     this.turnTo(now);
     this.current += 1;
   }
 
   /** Whether one more may be admitted at `now` on this host's own account. */
-  hasRoom(now: number): boolean {
+  canAdmit(now: number): boolean {
     this.turnTo(now);
     const elapsed = now / this.windowMs - this.window;
     return this.current < Math.max(1, this.former * elapsed);
--- a/packages/coordination/src/load/operation-allowance.ts
+++ b/packages/coordination/src/load/operation-allowance.ts
@@ -50,30 +50,30 @@
 }
 
 /** Operations that may be run in a window beyond rate and burst. */
-export function sparePerWindow(limit: WorkspaceLimit, tolerance: LimitTolerance): number {
+export function tolerancePerWindow(limit: WorkspaceLimit, tolerance: LimitTolerance): number {
   const { windowS, overrun, slack } = tolerance;
   return (limit.ratePerS * windowS + limit.burst) * overrun + slack;
 }
 
 /** Operations a second by which the bucket is filled. */
 function rateOf(limit: WorkspaceLimit, tolerance: LimitTolerance): number {
-  return limit.ratePerS + (sparePerWindow(limit, tolerance) * RATE_SHARE) / tolerance.windowS;
+  return limit.ratePerS + (tolerancePerWindow(limit, tolerance) * RATE_SHARE) / tolerance.windowS;
 }
 
 function capacityOf(limit: WorkspaceLimit, tolerance: LimitTolerance): number {
-  return limit.burst + sparePerWindow(limit, tolerance) * BUCKET_SHARE;
+  return limit.burst + tolerancePerWindow(limit, tolerance) * BUCKET_SHARE;
 }
 
 /**
  * Allowance with which a host begins whose rate counts from `since`, which may lie ahead. What was granted
  * before is not known, so the burst is not granted once more.
  */
-export function begunAllowance(
+export function initialAllowance(
   limit: WorkspaceLimit,
   tolerance: LimitTolerance,
   since: number,
 ): Allowance {
-  return { level: sparePerWindow(limit, tolerance) * BEGIN_SHARE, at: since };
+  return { level: tolerancePerWindow(limit, tolerance) * BEGIN_SHARE, at: since };
 }
 
 /** Grants up to `wanted` operations at `now`; a limit that was lowered counts at once. */
--- a/packages/coordination/src/load/retry-allowance.ts
+++ b/packages/coordination/src/load/retry-limiter.ts
@@ -5,7 +5,7 @@
 import { afterRequest, afterRetry, fullBudget } from './retry-budget.js';
 
 /** Grants retries within a budget. */
-export class RetryAllowance {
+export class RetryLimiter {
   private budget: RetryBudget;
 
   constructor(private readonly rules: RetryBudgetRules) {
@@ -13,12 +13,12 @@
   }
 
   /** Notes a request. */
-  noteRequest(): void {
+  recordRequest(): void {
     this.budget = afterRequest(this.budget, this.rules);
   }
 
   /** Whether one more retry is allowed; counts it if so. */
-  take(): boolean {
+  tryAcquire(): boolean {
     const next = afterRetry(this.budget);
     if (next !== undefined) this.budget = next;
     return next !== undefined;
--- a/packages/coordination/src/membership/loop-delay.ts
+++ b/packages/coordination/src/membership/event-loop-monitor.ts
@@ -16,7 +16,7 @@
 }
 
 /** Ticks of one process, due at a fixed interval. */
-export class LoopDelay {
+export class EventLoopMonitor {
   /** Ticks in a row that have left judging to the next one. */
   private putOff = 0;
   private latestDelayMs = 0;
@@ -47,7 +47,7 @@
    * @returns whether others may be judged in it. A tick that is overdue by another whole one leaves that to the next,
    * so that answers are read first.
    */
-  noteTick(now: number): boolean {
+  recordTick(now: number): boolean {
     const dueAt = this.lastTickAt + this.intervalMs;
     this.lastTickAt = now;
     this.pauses = [...this.pauses, { from: dueAt, to: now }].filter(
--- a/packages/coordination/src/membership/membership.ts
+++ b/packages/coordination/src/membership/membership.ts
@@ -26,39 +26,42 @@
 }
 
 /** A member that a relay hears. */
-export interface HeardMember {
+export interface TrackedMember {
   readonly member: Member;
   /** When its last heartbeat arrived, local milliseconds. */
-  readonly heardAt: number;
+  readonly lastHeartbeatAt: number;
 }
 
 /** Effect of a heartbeat on a relay's list. */
 export interface HeartbeatEffect {
-  readonly heard: HeardMember;
+  readonly heard: TrackedMember;
   /** Whether others have to be told. */
   readonly changed: boolean;
 }
 
 /** Takes a heartbeat into a relay's list; an older incarnation changes nothing. */
-export function takeHeartbeat(
-  held: HeardMember | undefined,
+export function applyHeartbeat(
+  held: TrackedMember | undefined,
   member: Member,
   now: number,
 ): HeartbeatEffect {
-  if (held === undefined) return { heard: { member, heardAt: now }, changed: true };
+  if (held === undefined) return { heard: { member, lastHeartbeatAt: now }, changed: true };
   if (member.incarnation < held.member.incarnation) return { heard: held, changed: false };
   const changed = !sameMember(held.member, member);
-  return { heard: { member, heardAt: now }, changed };
+  return { heard: { member, lastHeartbeatAt: now }, changed };
 }
 
 /** Members of a relay's list that have to be told as gone at `now`. */
 export function expiredMembers(
-  list: readonly HeardMember[],
+  list: readonly TrackedMember[],
   now: number,
   expireMs: number,
 ): readonly Member[] {
   return list
-    .filter(({ member, heardAt }) => member.state !== MemberState.Gone && now - heardAt > expireMs)
+    .filter(
+      ({ member, lastHeartbeatAt }) =>
+        member.state !== MemberState.Gone && now - lastHeartbeatAt > expireMs,
+    )
     .map(({ member }) => ({ ...member, state: MemberState.Gone }));
 }
 
@@ -86,7 +89,7 @@
 }
 
 /** Joins the views of several relays: a member lives while any of them says so. */
-export function joinViews(views: readonly (readonly Member[])[]): readonly Member[] {
+export function mergeViews(views: readonly (readonly Member[])[]): readonly Member[] {
   const joined = new Map<HostId, Member>();
   for (const view of views) {
     for (const member of view) {
@@ -98,7 +101,7 @@
 }
 
 /** Live hosts of a zone that take work, by name. */
-export function workingHosts(members: readonly Member[], az: AzId): readonly HostId[] {
+export function activeHosts(members: readonly Member[], az: AzId): readonly HostId[] {
   return members
     .filter((member) => member.az === az && member.state === MemberState.Live)
     .map((member) => member.host)
--- a/packages/coordination/src/membership/upstream-lapse.ts
+++ b/packages/coordination/src/membership/upstream-expiry.ts
@@ -5,7 +5,7 @@
  */
 
 /** Times of lapsed entries. */
-export interface LapseRules {
+export interface ExpiryRules {
   /** Time without an entry from which an upstream counts as leaving, milliseconds. */
   readonly leavingAfterMs: number;
   /** Time without an entry from which it is not used any more, milliseconds. */
@@ -22,7 +22,7 @@
 const GONE_SHARE = 0.7;
 
 /** Times for upstreams that take work for `servesOnMs` after they are known to leave. */
-export function lapseRules(servesOnMs: number): LapseRules {
+export function expiryRules(servesOnMs: number): ExpiryRules {
   return {
     leavingAfterMs: Math.min(LEAVING_AFTER_MS, servesOnMs * LEAVING_SHARE),
     goneAfterMs: Math.min(GONE_AFTER_MS, servesOnMs * GONE_SHARE),
@@ -30,7 +30,7 @@
 }
 
 /** What an upstream without an entry counts as. */
-export enum LapseStage {
+export enum ExpiryStage {
   /** As its last entry says. */
   Present = 'present',
   /** It gets no new work; a primary is replaced in a planned way. */
@@ -40,7 +40,7 @@
 }
 
 /** What an upstream counts as whose entry has been missing for `missingMs`, the store answering. */
-export function lapseStage(missingMs: number, rules: LapseRules): LapseStage {
-  if (missingMs >= rules.goneAfterMs) return LapseStage.Gone;
-  return missingMs >= rules.leavingAfterMs ? LapseStage.Leaving : LapseStage.Present;
+export function expiryStage(missingMs: number, rules: ExpiryRules): ExpiryStage {
+  if (missingMs >= rules.goneAfterMs) return ExpiryStage.Gone;
+  return missingMs >= rules.leavingAfterMs ? ExpiryStage.Leaving : ExpiryStage.Present;
 }
--- a/packages/coordination/src/model/blackboard.ts
+++ b/packages/coordination/src/model/blackboard.ts
@@ -3,7 +3,7 @@
  * observations to them; input and output adapters carry them out. Nothing here lasts longer than
  * the process.
  */
-import type { PrimaryMarks } from '../reads/data-age.js';
+import type { PrimaryWatermarks } from '../reads/watermarks.js';
 import type { GroupRecord, GroupSpec } from './group.js';
 import { compareRecords } from './group.js';
 import type { AzId, GroupId, HostId, UpstreamId } from './ids.js';
@@ -20,7 +20,7 @@
 }
 
 /** The bundle in force. */
-export interface BundleKnowledge {
+export interface KnownBundle {
   readonly version: number;
   readonly groups: ReadonlyMap<GroupId, GroupSpec>;
   /** When it came into force, local milliseconds. */
@@ -28,14 +28,14 @@
 }
 
 /** A group's record and when it was learned. */
-export interface RecordKnowledge {
+export interface KnownRecord {
   readonly record: GroupRecord;
   readonly since: number;
 }
 
 /** What a home observed of a group. */
 export interface GroupObservation {
-  readonly marks: PrimaryMarks;
+  readonly marks: PrimaryWatermarks;
   /** Time up to which the primaries' authority is proved, local milliseconds; never moves back. */
   readonly authority: number;
   /** When the home began to watch the present term, local milliseconds. */
@@ -50,8 +50,8 @@
 
 /** Knowledge of one host. */
 export class Blackboard {
-  private bundleKnowledge: BundleKnowledge | undefined;
-  private readonly records = new Map<GroupId, RecordKnowledge>();
+  private bundleKnowledge: KnownBundle | undefined;
+  private readonly records = new Map<GroupId, KnownRecord>();
   private readonly health = new Map<string, UpstreamHealth>();
   private readonly observations = new Map<GroupId, GroupObservation>();
   private memberList: readonly Member[] = [];
@@ -65,7 +65,7 @@
     readonly az: AzId,
   ) {}
 
-  get bundle(): BundleKnowledge | undefined {
+  get bundle(): KnownBundle | undefined {
     return this.bundleKnowledge;
   }
 
@@ -82,7 +82,7 @@
     return this.bundleKnowledge?.groups.get(group);
   }
 
-  record(group: GroupId): RecordKnowledge | undefined {
+  record(group: GroupId): KnownRecord | undefined {
     return this.records.get(group);
   }
 
@@ -102,7 +102,7 @@
   }
 
   /** Notes that the members of this zone are known; stays so. */
-  noteMembersKnown(): void {
+  markMembersKnown(): void {
     if (this.areMembersKnown) return;
     this.areMembersKnown = true;
     this.notify(Section.Members);
@@ -145,7 +145,7 @@
   }
 
   /** Forgets what was observed of a group that this host no longer watches. */
-  forgetObservation(group: GroupId): void {
+  removeObservation(group: GroupId): void {
     this.observations.delete(group);
   }
 
--- a/packages/coordination/src/model/errors.ts
+++ b/packages/coordination/src/model/errors.ts
@@ -32,7 +32,7 @@
 }
 
 /** Where an error arose. */
-export interface ErrorPlace {
+export interface ErrorContext {
   /** Step that failed. */
   readonly step: Step;
   /** Address or name of the other party; empty when the step concerns no peer. */
@@ -54,7 +54,7 @@
 
 /** Builds an error that names its step and peer; the cause's message is appended by the base class. */
 export function gladespoolError(
-  place: ErrorPlace,
+  place: ErrorContext,
   message: string,
   detail: ErrorDetail = {},
 ): GladespoolError {
--- a/packages/coordination/src/model/group.ts
+++ b/packages/coordination/src/model/group.ts
@@ -41,7 +41,7 @@
 }
 
 /** What a session is promised beyond its own writes. */
-export enum SessionRule {
+export enum SessionGuarantee {
   /** Reads see the session's own writes. */
   OwnWrites = 'own-writes',
   /** Reads also never go back behind what the session has read before. */
@@ -57,7 +57,7 @@
   /** Age of data that a read accepts when it carries no mark of its own, milliseconds; 0 = no bound stated. */
   readonly defaultMaxAgeMs: number;
   readonly acknowledgement: AcknowledgementKind;
-  readonly sessionRule: SessionRule;
+  readonly sessionGuarantee: SessionGuarantee;
 }
 
 /** Record of a group in the platform's store. */
--- a/packages/coordination/src/model/refusal.ts
+++ b/packages/coordination/src/model/refusal.ts
@@ -4,7 +4,7 @@
  */
 
 /** Whether the statement of a refused request took effect. */
-export enum Ran {
+export enum ExecutionStatus {
   /** It certainly did not run. */
   No = 'no',
   /** It may have run; ask again with the same request id to learn. */
@@ -59,7 +59,7 @@
 
 /** What a refusal tells the caller. */
 export interface RefusalRule {
-  readonly ran: Ran;
+  readonly ran: ExecutionStatus;
   /** SQLSTATE of the error, from Appendix A of the PostgreSQL manual. */
   readonly sqlState: string;
   readonly message: string;
@@ -72,179 +72,224 @@
 
 /** The rule of each reason; docs/INTERFACES.md shows this table. */
 export const REFUSAL_RULES: Readonly<Record<RefusalReason, RefusalRule>> = {
-  [RefusalReason.BadMarks]: rule(Ran.No, '22023', 'request marks are not valid', 0),
-  [RefusalReason.BadToken]: rule(Ran.No, '28000', 'session token is not valid', 0),
+  [RefusalReason.BadMarks]: rule(ExecutionStatus.No, '22023', 'request marks are not valid', 0),
+  [RefusalReason.BadToken]: rule(ExecutionStatus.No, '28000', 'session token is not valid', 0),
   [RefusalReason.TokenDiscarded]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '40001',
     'session token names a position that a promotion discarded',
     0,
   ),
-  [RefusalReason.Unsupported]: rule(Ran.No, '0A000', 'not supported through the proxy', 0),
-  [RefusalReason.UnknownGroup]: rule(Ran.No, '3D000', 'database group does not exist', 0),
-  [RefusalReason.NoBundle]: rule(Ran.No, '57P03', 'no configuration bundle received yet', LATER_MS),
-  [RefusalReason.NoHome]: rule(Ran.No, '57P03', 'no live home for the group', LATER_MS),
-  [RefusalReason.NoPrimary]: rule(Ran.No, '57P03', 'group has no primary at present', LATER_MS),
+  [RefusalReason.Unsupported]: rule(
+    ExecutionStatus.No,
+    '0A000',
+    'not supported through the proxy',
+    0,
+  ),
+  [RefusalReason.UnknownGroup]: rule(
+    ExecutionStatus.No,
+    '3D000',
+    'database group does not exist',
+    0,
+  ),
+  [RefusalReason.NoBundle]: rule(
+    ExecutionStatus.No,
+    '57P03',
+    'no configuration bundle received yet',
+    LATER_MS,
+  ),
+  [RefusalReason.NoHome]: rule(ExecutionStatus.No, '57P03', 'no live home for the group', LATER_MS),
+  [RefusalReason.NoPrimary]: rule(
+    ExecutionStatus.No,
+    '57P03',
+    'group has no primary at present',
+    LATER_MS,
+  ),
   [RefusalReason.NoMajority]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '57P03',
     'no majority of upstreams reachable, a write could not be confirmed',
     LATER_MS,
   ),
   [RefusalReason.NoCoveringUpstream]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '57P03',
     'no reachable upstream holds what this session has seen',
     LATER_MS,
   ),
-  [RefusalReason.TooStale]: rule(Ran.No, '57P03', 'no upstream is as fresh as asked', LATER_MS),
+  [RefusalReason.TooStale]: rule(
+    ExecutionStatus.No,
+    '57P03',
+    'no upstream is as fresh as asked',
+    LATER_MS,
+  ),
   [RefusalReason.QueueFull]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '53300',
     'queue for upstream connections is full',
     SOON_MS,
   ),
   [RefusalReason.ExpectedWait]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '53300',
     'expected wait is longer than the deadline',
     SOON_MS,
   ),
   [RefusalReason.DeadlineBeforeRun]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '57014',
     'deadline passed before running',
     SOON_MS,
   ),
-  [RefusalReason.Draining]: rule(Ran.No, '57P01', 'host is leaving', SOON_MS),
+  [RefusalReason.Draining]: rule(ExecutionStatus.No, '57P01', 'host is leaving', SOON_MS),
   [RefusalReason.NotPrimary]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '25006',
     'upstream refused the write: it is not the primary',
     SOON_MS,
   ),
   [RefusalReason.UpstreamLost]: rule(
-    Ran.Unknown,
+    ExecutionStatus.Unknown,
     '40003',
     'upstream connection was lost while the request ran',
     SOON_MS,
   ),
   [RefusalReason.UpstreamLostReading]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '08006',
     'upstream connection was lost during a read',
     SOON_MS,
   ),
   [RefusalReason.PeerLost]: rule(
-    Ran.Unknown,
+    ExecutionStatus.Unknown,
     '40003',
     'link to the home was lost while the request ran',
     SOON_MS,
   ),
-  [RefusalReason.PeerUnreachable]: rule(Ran.No, '08001', 'home could not be reached', SOON_MS),
+  [RefusalReason.PeerUnreachable]: rule(
+    ExecutionStatus.No,
+    '08001',
+    'home could not be reached',
+    SOON_MS,
+  ),
   [RefusalReason.OutcomeUnknown]: rule(
-    Ran.Unknown,
+    ExecutionStatus.Unknown,
     '40003',
     'ran, but a majority did not confirm it before the deadline',
     SOON_MS,
   ),
   [RefusalReason.ReadNotCovered]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '57P03',
     'rows read were not confirmed by a majority before the deadline',
     LATER_MS,
   ),
   [RefusalReason.TransactionLost]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '25P02',
     'transaction was rolled back: its upstream connection is gone',
     SOON_MS,
   ),
   [RefusalReason.AnswerTooLarge]: rule(
-    Ran.Unknown,
+    ExecutionStatus.Unknown,
     '54000',
     'answer exceeds the size limit of the proxy',
     0,
   ),
-  [RefusalReason.MessageTooLarge]: rule(Ran.No, '54000', 'message exceeds the size limit', 0),
+  [RefusalReason.MessageTooLarge]: rule(
+    ExecutionStatus.No,
+    '54000',
+    'message exceeds the size limit',
+    0,
+  ),
   [RefusalReason.Superseded]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '40001',
     'a promotion discarded the commit before it was confirmed',
     SOON_MS,
   ),
   [RefusalReason.UpstreamUnreachable]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '08001',
     'no connection to the upstream could be opened',
     SOON_MS,
   ),
-  [RefusalReason.Canceled]: rule(Ran.No, '57014', 'canceled before running', 0),
+  [RefusalReason.Canceled]: rule(ExecutionStatus.No, '57014', 'canceled before running', 0),
   [RefusalReason.NoAuthority]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '57P03',
     'no recent proof of which upstream is the primary',
     SOON_MS,
   ),
   [RefusalReason.AuthorityLapsed]: rule(
-    Ran.Unknown,
+    ExecutionStatus.Unknown,
     '40003',
     'ran, but the proof of the primary had lapsed when the answer came',
     SOON_MS,
   ),
   [RefusalReason.SessionMisuse]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '25000',
     'statement does not fit the state of the session',
     0,
   ),
-  [RefusalReason.UnknownStatement]: rule(Ran.No, '26000', 'prepared statement is not known', 0),
+  [RefusalReason.UnknownStatement]: rule(
+    ExecutionStatus.No,
+    '26000',
+    'prepared statement is not known',
+    0,
+  ),
   [RefusalReason.TransactionIdle]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '25P03',
     'transaction was rolled back: it was idle for too long',
     SOON_MS,
   ),
   [RefusalReason.StatementTimeout]: rule(
-    Ran.Unknown,
+    ExecutionStatus.Unknown,
     '57014',
     'upstream did not answer within the time of the statement',
     SOON_MS,
   ),
   [RefusalReason.UnknownKey]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '28000',
     'key belongs to no workspace of the configuration in force',
     0,
   ),
   [RefusalReason.OverLimit]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '53400',
     'workspace has used up its limit of operations',
     LATER_MS,
   ),
   [RefusalReason.KeysUnconfirmed]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '57P03',
     'host can not tell whether the key still counts',
     LATER_MS,
   ),
   [RefusalReason.ZoneEvacuated]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '57P03',
     'every upstream that could run it is in an evacuated zone',
     LATER_MS,
   ),
   [RefusalReason.NoPermittedRegion]: rule(
-    Ran.No,
+    ExecutionStatus.No,
     '57P03',
     'no upstream that could run it is in a region that the data may be in',
     0,
   ),
-  [RefusalReason.AlreadyRan]: rule(Ran.Yes, '23505', 'request id has run before', 0),
+  [RefusalReason.AlreadyRan]: rule(ExecutionStatus.Yes, '23505', 'request id has run before', 0),
 };
 
-function rule(ran: Ran, sqlState: string, message: string, retryAfterMs: number): RefusalRule {
+function rule(
+  ran: ExecutionStatus,
+  sqlState: string,
+  message: string,
+  retryAfterMs: number,
+): RefusalRule {
   return { ran, sqlState, message, retryAfterMs };
 }
 
@@ -263,7 +308,7 @@
 }
 
 /** Whether the request of this refusal took effect. */
-export function ranOf(refusal: Refusal): Ran {
+export function executionStatusOf(refusal: Refusal): ExecutionStatus {
   return REFUSAL_RULES[refusal.reason].ran;
 }
 
--- a/packages/coordination/src/model/store-position.ts
+++ b/packages/coordination/src/model/store-position.ts
@@ -30,6 +30,6 @@
 }
 
 /** A position for log lines, ERA.REVISION. */
-export function storePositionText({ era, revision }: StorePosition): string {
+export function formatStorePosition({ era, revision }: StorePosition): string {
   return `${era}.${revision}`;
 }
--- a/packages/coordination/src/model/workspace.ts
+++ b/packages/coordination/src/model/workspace.ts
@@ -40,13 +40,13 @@
    * Time after which a host that does not know its configuration to be the newest serves no key, milliseconds;
    * undefined where keys count until their removal is known.
    */
-  readonly unconfirmedLifeMs: number | undefined;
+  readonly unconfirmedTtlMs: number | undefined;
 }
 
 /** Whether keys count at `now` by a configuration that was surely the newest at `confirmedAt`. */
-export function keysCount(confirmedAt: number, now: number, rules: KeyRules): boolean {
-  const { unconfirmedLifeMs } = rules;
-  return unconfirmedLifeMs === undefined || now - confirmedAt <= unconfirmedLifeMs;
+export function areKeysValid(confirmedAt: number, now: number, rules: KeyRules): boolean {
+  const { unconfirmedTtlMs } = rules;
+  return unconfirmedTtlMs === undefined || now - confirmedAt <= unconfirmedTtlMs;
 }
 
 /** What an operation is admitted as. */
--- a/packages/coordination/src/places/evacuation.ts
+++ b/packages/coordination/src/placement/evacuation.ts
@@ -10,7 +10,7 @@
   /** A primary in it serves until it is replaced; open transactions go on. */
   Leaving = 'leaving',
   /** Nothing is sent to its upstreams any more. */
-  Over = 'over',
+  Evacuated = 'over',
 }
 
 /**
@@ -33,7 +33,7 @@
 ): EvacuationStage {
   if (lastInUseAt === undefined) return EvacuationStage.None;
   const isLeaving = now - lastInUseAt < evacuationMs * EVACUATION_LEAVING_SHARE;
-  return isLeaving ? EvacuationStage.Leaving : EvacuationStage.Over;
+  return isLeaving ? EvacuationStage.Leaving : EvacuationStage.Evacuated;
 }
 
 /**
@@ -41,13 +41,13 @@
  *
  * @param isReplaceablePrimary whether it is the primary of a group with upstreams in other zones
  */
-export function takesNewWork(stage: EvacuationStage, isReplaceablePrimary: boolean): boolean {
+export function acceptsNewWork(stage: EvacuationStage, isReplaceablePrimary: boolean): boolean {
   switch (stage) {
     case EvacuationStage.None:
       return true;
     case EvacuationStage.Leaving:
       return isReplaceablePrimary;
-    case EvacuationStage.Over:
+    case EvacuationStage.Evacuated:
       return false;
   }
 }
--- a/packages/coordination/src/places/homes.ts
+++ b/packages/coordination/src/placement/homes.ts
@@ -25,7 +25,7 @@
 }
 
 /** Connections to each upstream that the hosts of `az` may hold together. */
-export function zonePart(spec: GroupSpec, az: AzId): number {
+export function zoneShare(spec: GroupSpec, az: AzId): number {
   const zones = zonesOfGroup(spec);
   const index = zones.indexOf(az);
   if (index < 0) return 0;
@@ -43,20 +43,20 @@
 }
 
 /** Least part of a zone with two homes: a slot for each and a reserve for two successors. */
-export const LEAST_ZONE_PART = 4;
+export const MIN_ZONE_SHARE = 4;
 
 /** Bounds of the split. */
 export interface SlotRules {
   readonly homesPerGroup: number;
   /** Time after which a host that lost its home has surely given its connections back, milliseconds. */
-  readonly surrenderMs: number;
+  readonly releaseTimeoutMs: number;
 }
 
 /** Connections to each upstream that one home may hold at `now`. */
-export function homePart(part: number, tenure: HomeTenure, rules: SlotRules, now: number): number {
-  const { homesPerGroup, surrenderMs } = rules;
+export function homeShare(part: number, tenure: HomeTenure, rules: SlotRules, now: number): number {
+  const { homesPerGroup, releaseTimeoutMs } = rules;
   const reserve = Math.max(homesPerGroup, Math.floor(part / (homesPerGroup + 1)));
   const slot = Math.max(1, Math.floor((part - reserve) / homesPerGroup));
-  const settled = tenure.handedOver || now - tenure.since >= surrenderMs;
+  const settled = tenure.handedOver || now - tenure.since >= releaseTimeoutMs;
   return settled ? slot : Math.min(slot, Math.floor(reserve / homesPerGroup));
 }
--- a/packages/coordination/src/places/near-homes.ts
+++ b/packages/coordination/src/placement/near-homes.ts
@@ -17,7 +17,7 @@
 /** Homes of a group in each zone of its upstreams: one serves while the other restarts. */
 const HOMES_PER_ZONE = 2;
 /** The same where connections serve one workspace each: two would each open one for a workspace. */
-const BOUND_HOMES_PER_ZONE = 1;
+const DEDICATED_HOMES_PER_ZONE = 1;
 /** Connections of a home to an upstream of another region at least: one transaction and one read. */
 const LEAST_FAR_CONNECTIONS = 2;
 /**
@@ -32,7 +32,7 @@
 };
 
 /** What a plan is made from. */
-export interface NearHomesGroup {
+export interface NearHomesInput {
   readonly group: GroupId;
   /** Zones of the group's upstreams. */
   readonly upstreamZones: ReadonlySet<AzId>;
@@ -45,17 +45,17 @@
    */
   readonly farUsable: number;
   /** Whether connections serve one workspace each. */
-  readonly isBound: boolean;
+  readonly isDedicated: boolean;
 }
 
 /** Plans the homes of a group near its upstreams; every host computes the same plan. */
 export function planNearHomes(
-  near: NearHomesGroup,
+  near: NearHomesInput,
   zones: ReadonlyMap<AzId, readonly HostId[]>,
   topology: Topology,
 ): HomePlan {
-  const { group, upstreamZones, isBound } = near;
-  const perZone = isBound ? BOUND_HOMES_PER_ZONE : HOMES_PER_ZONE;
+  const { group, upstreamZones, isDedicated } = near;
+  const perZone = isDedicated ? DEDICATED_HOMES_PER_ZONE : HOMES_PER_ZONE;
   const homes = new Map<AzId, readonly HostId[]>();
   for (const [az, hosts] of zones) {
     if (upstreamZones.has(az)) homes.set(az, homesOf(group, hosts, perZone));
@@ -64,7 +64,7 @@
   return {
     homes,
     connectionsPerHome: LEAST_FAR_CONNECTIONS,
-    isBound,
+    isDedicated,
     shares,
   };
 }
@@ -74,7 +74,7 @@
   az: AzId,
   homes: ReadonlyMap<AzId, readonly HostId[]>,
   topology: Topology,
-  { usable, farUsable }: NearHomesGroup,
+  { usable, farUsable }: NearHomesInput,
 ): ReadonlyMap<AzId, number> {
   const weightOf = (zone: AzId): number => WEIGHTS[topology.distance(az, zone)];
   const sum = (of: (zone: AzId) => number): number =>
--- a/packages/coordination/src/places/region-order.ts
+++ b/packages/coordination/src/placement/region-order.ts
@@ -46,7 +46,7 @@
 export function rankZones(hosts: readonly PlacedHost[], topology: Topology): readonly AzId[] {
   const zones = [...new Set(hosts.map((host) => host.az))];
   const ranked = rankCandidates(READER_RANK_KEY, zones);
-  if (!topology.isSpread) return ranked;
+  if (!topology.isMultiRegion) return ranked;
   const regions = rankRegions(hosts, topology);
   return regions.flatMap((region) => ranked.filter((az) => topology.regionOf(az) === region));
 }
@@ -57,10 +57,10 @@
  *
  * @param zones zones in the order of `rankZones`
  */
-export function zoneToAsk(az: AzId, zones: readonly AzId[], topology: Topology): AzId | undefined {
+export function parentZone(az: AzId, zones: readonly AzId[], topology: Topology): AzId | undefined {
   const [reading] = zones;
   if (az === reading) return undefined;
-  if (!topology.isSpread) return reading;
+  if (!topology.isMultiRegion) return reading;
   const region = topology.regionOf(az);
   const first = zones.find((other) => topology.regionOf(other) === region);
   return first === az ? reading : first;
@@ -70,7 +70,7 @@
  * The zones among `zones` whose hosts a host of `own` asks that is late, its proof being `ageMs` old. At first those of
  * its region: mostly one of them has a younger proof, and the path to another region is narrow and shared.
  */
-export function zonesToAskForHelp(
+export function fallbackZones(
   own: AzId,
   zones: readonly AzId[],
   topology: Topology,
@@ -81,7 +81,7 @@
 }
 
 /** The region in which more of `zones` lie than in any other, one count for each mention; else undefined. */
-export function regionOfMost(zones: readonly AzId[], topology: Topology): RegionId | undefined {
+export function dominantRegion(zones: readonly AzId[], topology: Topology): RegionId | undefined {
   const counted = topology.regions.map((region) => ({
     region,
     count: zones.filter((az) => topology.regionOf(az) === region).length,
@@ -98,7 +98,7 @@
  *
  * @param ranked hosts in the order in which they act elsewhere
  */
-export function regionFirst(
+export function prioritizeRegion(
   ranked: readonly HostId[],
   region: RegionId | undefined,
   regionOf: (host: HostId) => RegionId | undefined,
--- a/packages/coordination/src/places/topology.ts
+++ b/packages/coordination/src/placement/topology.ts
@@ -20,7 +20,7 @@
   }
 
   /** Whether zones lie in more than one region. */
-  get isSpread(): boolean {
+  get isMultiRegion(): boolean {
     return this.regions.length > 1;
   }
 
@@ -40,4 +40,4 @@
 }
 
 /** Topology of a deployment whose settings tell no regions. */
-export const ONE_REGION = new Topology(new Map());
+export const SINGLE_REGION = new Topology(new Map());
--- a/packages/coordination/src/reads/position.ts
+++ b/packages/coordination/src/reads/position.ts
@@ -30,7 +30,7 @@
 }
 
 /** A position as log lines show it: term, point, offset. */
-export function positionText({ term, offset }: Position): string {
+export function formatPosition({ term, offset }: Position): string {
   return `${term}.${offset}`;
 }
 
--- a/packages/coordination/src/reads/read-routing.ts
+++ b/packages/coordination/src/reads/read-routing.ts
@@ -24,7 +24,7 @@
 }
 
 /** What a read needs. */
-export interface ReadNeed {
+export interface ReadRequirements {
   /** What the session has seen of the group. */
   readonly floor: Position;
   /** The session is resumed but brought no token: only the primary proves freshness. */
@@ -41,7 +41,7 @@
   readonly record: GroupRecord;
   readonly az: AzId;
   readonly views: readonly UpstreamView[];
-  readonly need: ReadNeed;
+  readonly requirements: ReadRequirements;
   /** Upstreams already tried for this read. */
   readonly tried: ReadonlySet<UpstreamId>;
 }
@@ -58,23 +58,23 @@
 }
 
 /** Consecutive failed status queries after which an upstream is not chosen. */
-export const FAILED_AFTER = 2;
+export const FAILURE_THRESHOLD = 2;
 /** Shortest useful wait for a replica, milliseconds. */
 const MIN_WAIT_MS = 1;
 
 /** Covering replica near, covering replica far, short wait, primary last. */
 export class CoveringReplicaRouting implements ReadRouting {
   choose(input: ReadInput, random: RandomSource): ReadChoice {
-    const { need, record } = input;
-    if (isDiscarded(need.floor, record.lineage)) {
+    const { requirements, record } = input;
+    if (isDiscarded(requirements.floor, record.lineage)) {
       return { kind: 'refuse', reason: RefusalReason.TokenDiscarded };
     }
     const usable = input.views.filter((view) => isUsable(view, input.tried));
     const replicas = usable.filter((view) => view.spec.id !== record.primary);
-    const ready = need.barrier ? [] : replicas.filter((view) => serves(view, input));
+    const ready = requirements.barrier ? [] : replicas.filter((view) => serves(view, input));
     const pick = pickLeastBusy(preferNear(ready, input.az), random);
     if (pick !== undefined) return { kind: 'use', upstream: pick.spec.id, isPrimary: false };
-    const waitMs = need.barrier ? undefined : shortestWait(replicas, input);
+    const waitMs = requirements.barrier ? undefined : shortestWait(replicas, input);
     if (waitMs !== undefined) return { kind: 'wait', forMs: waitMs };
     return primaryOrRefuse(usable, input);
   }
@@ -90,16 +90,16 @@
 
 function isUsable(view: UpstreamView, tried: ReadonlySet<UpstreamId>): boolean {
   if (view.spec.state === UpstreamState.Leaving) return false;
-  if (view.health.failures >= FAILED_AFTER) return false;
+  if (view.health.failures >= FAILURE_THRESHOLD) return false;
   return !tried.has(view.spec.id);
 }
 
 function serves(view: UpstreamView, input: ReadInput): boolean {
   const applied = view.health.last?.report.applied;
   if (applied === undefined) return false;
-  const { need, record } = input;
-  if (coverage(applied, need.floor, record.lineage) !== Coverage.Covered) return false;
-  return need.maxAgeMs === undefined || view.ageMs <= need.maxAgeMs;
+  const { requirements, record } = input;
+  if (coverage(applied, requirements.floor, record.lineage) !== Coverage.Covered) return false;
+  return requirements.maxAgeMs === undefined || view.ageMs <= requirements.maxAgeMs;
 }
 
 function preferNear(views: readonly UpstreamView[], az: AzId): readonly UpstreamView[] {
@@ -121,16 +121,16 @@
 
 /** Expected wait until the first replica covers the floor, if it lies within the bound. */
 function shortestWait(replicas: readonly UpstreamView[], input: ReadInput): number | undefined {
-  const { need, record } = input;
+  const { requirements, record } = input;
   let best: number | undefined;
   for (const view of replicas) {
     const applied = view.health.last?.report.applied;
     if (applied === undefined || view.applyRate <= 0) continue;
-    if (need.maxAgeMs !== undefined && view.ageMs > need.maxAgeMs) continue;
-    if (applied.term !== need.floor.term || applied.term !== record.term) continue;
-    const missing = need.floor.offset - applied.offset;
+    if (requirements.maxAgeMs !== undefined && view.ageMs > requirements.maxAgeMs) continue;
+    if (applied.term !== requirements.floor.term || applied.term !== record.term) continue;
+    const missing = requirements.floor.offset - applied.offset;
     const waitMs = Math.max(MIN_WAIT_MS, Math.ceil(missing / view.applyRate));
-    if (waitMs <= need.maxWaitMs && (best === undefined || waitMs < best)) best = waitMs;
+    if (waitMs <= requirements.maxWaitMs && (best === undefined || waitMs < best)) best = waitMs;
   }
   return best;
 }
@@ -138,7 +138,7 @@
 function primaryOrRefuse(usable: readonly UpstreamView[], input: ReadInput): ReadChoice {
   const primary = usable.find((view) => view.spec.id === input.record.primary);
   if (primary !== undefined) return { kind: 'use', upstream: primary.spec.id, isPrimary: true };
-  const stale = input.need.maxAgeMs !== undefined;
+  const stale = input.requirements.maxAgeMs !== undefined;
   const reason = stale ? RefusalReason.TooStale : RefusalReason.NoCoveringUpstream;
   return { kind: 'refuse', reason };
 }
--- a/packages/coordination/src/reads/upstream-choice.ts
+++ b/packages/coordination/src/reads/upstream-choice.ts
@@ -5,14 +5,14 @@
  */
 import type { UpstreamId } from '../model/ids.js';
 import type { RandomSource } from '../model/random.js';
-import { Distance } from '../places/topology.js';
+import { Distance } from '../placement/topology.js';
 
 /** What a home has for a workspace at an upstream. */
-export enum Reuse {
+export enum ConnectionAvailability {
   /** A free connection. */
   Ready = 'ready',
   /** Room to open one. */
-  Room = 'room',
+  CanOpen = 'room',
   /** Neither; a connection of another workspace would have to be closed. */
   Full = 'full',
 }
@@ -28,7 +28,7 @@
   /** Moving average of the time of an answer, milliseconds. */
   readonly meanMs: number;
   /** What is there for the read's workspace; ready where connections serve everybody. */
-  readonly reuse: Reuse;
+  readonly availability: ConnectionAvailability;
   /** Until when the upstream is to be avoided (lagging, busy, failing), local milliseconds. */
   readonly avoidUntil: number;
 }
@@ -71,8 +71,8 @@
  * another workspace needs the one that is closed for it soon again.
  */
 function reusable(loads: readonly UpstreamLoad[]): readonly UpstreamLoad[] {
-  for (const reuse of [Reuse.Ready, Reuse.Room]) {
-    const found = loads.filter((load) => load.reuse === reuse);
+  for (const reuse of [ConnectionAvailability.Ready, ConnectionAvailability.CanOpen]) {
+    const found = loads.filter((load) => load.availability === reuse);
     if (found.length > 0) return found;
   }
   return loads;
--- a/packages/coordination/src/reads/mark-log.ts
+++ b/packages/coordination/src/reads/watermark-log.ts
@@ -5,7 +5,7 @@
  */
 import type { Position } from './position.js';
 import { comparePositions, maxPosition } from './position.js';
-import type { PrimaryMark } from './data-age.js';
+import type { PrimaryWatermark } from './watermarks.js';
 
 /** Least distance between two marks kept, milliseconds; far below every staleness bound in use. */
 const SPACING_MS = 20;
@@ -13,14 +13,14 @@
 const KEEP_MS = 10_000;
 
 /** Marks taken under one epoch, oldest first. */
-export class MarkLog {
-  private marks: PrimaryMark[] = [];
+export class WatermarkLog {
+  private marks: PrimaryWatermark[] = [];
   private furthest: Position | undefined;
 
   constructor(private epoch = 0) {}
 
   /** Newest mark, if any. */
-  get newest(): PrimaryMark | undefined {
+  get newest(): PrimaryWatermark | undefined {
     return this.marks.at(-1);
   }
 
@@ -30,7 +30,7 @@
   }
 
   /** Epoch under which the marks were taken. */
-  get epochOfMarks(): number {
+  get currentEpoch(): number {
     return this.epoch;
   }
 
@@ -43,7 +43,7 @@
   }
 
   /** Notes an answer of the primary to a question sent at `mark.sentAt`. */
-  add(mark: PrimaryMark): void {
+  add(mark: PrimaryWatermark): void {
     this.furthest = maxPosition(this.furthest ?? mark.position, mark.position);
     const last = this.marks.at(-1);
     if (last !== undefined && mark.sentAt - last.sentAt < SPACING_MS) return;
@@ -52,7 +52,7 @@
   }
 
   /** Oldest mark whose question was sent at `notBefore` or later. */
-  oldestSince(notBefore: number): PrimaryMark | undefined {
+  oldestSince(notBefore: number): PrimaryWatermark | undefined {
     return this.marks.find((mark) => mark.sentAt >= notBefore);
   }
 }
@@ -61,7 +61,7 @@
  * Whether an upstream that tells `told` lacks what it had told before: it has lost its log. `floor` has to
  * have been told before the question was sent, since answers on several connections overtake one another.
  */
-export function hasGoneBack(floor: Position | undefined, told: Position | undefined): boolean {
+export function hasRegressed(floor: Position | undefined, told: Position | undefined): boolean {
   if (floor === undefined || told === undefined) return false;
   return comparePositions(told, floor) < 0;
 }
@@ -79,7 +79,7 @@
  * lies before every position of the new primary.
  */
 export function readFloor(
-  mark: PrimaryMark,
+  mark: PrimaryWatermark,
   epoch: number,
   own: SessionPosition | undefined,
 ): Position {
--- a/packages/coordination/src/reads/data-age.ts
+++ b/packages/coordination/src/reads/watermarks.ts
@@ -11,7 +11,7 @@
 import type { TimedReport } from '../model/upstream-report.js';
 
 /** One observation of the primary. */
-export interface PrimaryMark {
+export interface PrimaryWatermark {
   /** Local time at which the query was sent, milliseconds. */
   readonly sentAt: number;
   /** Position of the primary when it answered. */
@@ -19,7 +19,7 @@
 }
 
 /** Observations kept, newest last; bounded in number and spacing. */
-export type PrimaryMarks = readonly PrimaryMark[];
+export type PrimaryWatermarks = readonly PrimaryWatermark[];
 
 const MAX_MARKS = 256;
 
@@ -27,7 +27,11 @@
  * Adds an observation. Marks younger than `spacingMs` after the one before replace nothing and
  * are dropped, so that 256 marks reach back 256 x spacing.
  */
-export function addMark(marks: PrimaryMarks, mark: PrimaryMark, spacingMs: number): PrimaryMarks {
+export function addWatermark(
+  marks: PrimaryWatermarks,
+  mark: PrimaryWatermark,
+  spacingMs: number,
+): PrimaryWatermarks {
   const last = marks.at(-1);
   if (last !== undefined && mark.sentAt - last.sentAt < spacingMs) return marks;
   return [...marks, mark].slice(-MAX_MARKS);
@@ -55,7 +59,7 @@
 
 /** What an age is proved from. */
 export interface AgeProof {
-  readonly marks: PrimaryMarks;
+  readonly marks: PrimaryWatermarks;
   readonly lineage: Lineage;
   /** Highest {@link authorityAt} so far; a mark taken later may be of a superseded primary. */
   readonly authority: number;
--- a/packages/coordination/tests/authority.steps.ts
+++ b/packages/coordination/tests/authority.steps.ts
@@ -2,19 +2,19 @@
 import { Given, Then } from '@cucumber/cucumber';
 import type { PeerRenewal, PrimaryRecord, SilenceEvidence, UpstreamId } from '../src/index.js';
 import {
-  answerCounts,
+  isAnswerValid,
   DEFAULT_AUTHORITY,
   groupId,
   hasAuthority,
   hostId,
   DEFAULT_RETIREMENT,
-  isGivenUp,
+  acknowledgesClaim,
   isNewerRecord,
   mayRetire,
   namedRecord,
   RecordPhase,
-  renewalCounts,
-  silentHostFreeAt,
+  isRenewalValid,
+  proofsExpiredAt,
   upstreamId,
 } from '../src/index.js';
 
@@ -93,7 +93,7 @@
   /^an answer at (\d+) ms (counts|doesn't count)$/,
   function (this: AuthorityWorld, now: string, counts: string) {
     const view = { record: this.record, provedAt: this.provedAt };
-    const found = answerCounts(
+    const found = isAnswerValid(
       this.sentUnder,
       this.answeredBy,
       view,
@@ -105,13 +105,13 @@
 );
 
 Then(/^the renewal (counts|doesn't count)$/, function (this: AuthorityWorld, counts: string) {
-  assert.equal(renewalCounts(this.renewal, NOW, DEFAULT_AUTHORITY), counts === 'counts');
+  assert.equal(isRenewalValid(this.renewal, NOW, DEFAULT_AUTHORITY), counts === 'counts');
 });
 
 Then(
   'silent hosts have given the primary up at {int} ms',
   function (this: AuthorityWorld, at: number) {
-    assert.equal(silentHostFreeAt(this.majorityAt, DEFAULT_AUTHORITY), at);
+    assert.equal(proofsExpiredAt(this.majorityAt, DEFAULT_AUTHORITY), at);
   },
 );
 
@@ -135,7 +135,7 @@
   function (this: AuthorityWorld, acks: string) {
     assert.ok(this.record);
     const claim = recordOf(2, RecordPhase.Claimed);
-    assert.equal(isGivenUp(this.record, claim), acks === 'acknowledges');
+    assert.equal(acknowledgesClaim(this.record, claim), acks === 'acknowledges');
   },
 );
 
--- a/packages/coordination/tests/era-opening.steps.ts
+++ b/packages/coordination/tests/era-opening.steps.ts
@@ -1,19 +1,19 @@
 import assert from 'node:assert/strict';
 import { Given, Then } from '@cucumber/cucumber';
-import type { FormerHosts, PrimaryRecord } from '../src/index.js';
+import type { PreviousEraHosts, PrimaryRecord } from '../src/index.js';
 import {
   DEFAULT_AUTHORITY,
   groupId,
   hostId,
   mayOpenEra,
-  openingFence,
-  recordInDoubt,
+  initialFence,
+  placeholderRecord,
   RecordPhase,
   upstreamId,
 } from '../src/index.js';
 
 interface OpeningWorld {
-  former: FormerHosts;
+  former: PreviousEraHosts;
   doubted: PrimaryRecord;
 }
 
@@ -34,7 +34,7 @@
 Then(
   'the fence goes on from {int} at {int}',
   function (this: OpeningWorld, known: number, fence: number) {
-    assert.equal(openingFence(known, this.former), fence);
+    assert.equal(initialFence(known, this.former), fence);
   },
 );
 
@@ -50,7 +50,7 @@
       holder: hostId('h1'),
     };
     const position = { era: Number(era), revision: Number(revision) };
-    this.doubted = recordInDoubt(group, former, position);
+    this.doubted = placeholderRecord(group, former, position);
   },
 );
 
--- a/packages/coordination/tests/evacuation.steps.ts
+++ b/packages/coordination/tests/evacuation.steps.ts
@@ -5,7 +5,7 @@
   chooseCoveringSuccessor,
   EvacuationStage,
   evacuationStage,
-  takesNewWork,
+  acceptsNewWork,
   upstreamId,
 } from '../src/index.js';
 
@@ -39,9 +39,9 @@
   /^new work is (\w+) at a primary that another can follow, (\w+) elsewhere, and open transactions (go on|end)$/,
   function (this: EvacuationWorld, atPrimary: string, elsewhere: string, open: string) {
     const isTaken = (words: string): boolean => words === 'taken';
-    assert.equal(takesNewWork(this.stage, true), isTaken(atPrimary));
-    assert.equal(takesNewWork(this.stage, false), isTaken(elsewhere));
-    assert.equal(this.stage !== EvacuationStage.Over, open === 'go on');
+    assert.equal(acceptsNewWork(this.stage, true), isTaken(atPrimary));
+    assert.equal(acceptsNewWork(this.stage, false), isTaken(elsewhere));
+    assert.equal(this.stage !== EvacuationStage.Evacuated, open === 'go on');
   },
 );
 
--- a/packages/coordination/tests/failover.steps.ts
+++ b/packages/coordination/tests/failover.steps.ts
@@ -1,25 +1,25 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import type {
-  DutyClaim,
+  PromotionLeaseClaim,
   HostId,
-  NamedStanding,
+  SuccessorStatus,
   PrimaryRecord,
   ReachEvidence,
-  SeenDuty,
+  SeenPromotionLease,
   SuccessorReport,
 } from '../src/index.js';
 import {
-  actingOrder,
+  failoverOrder,
   chooseSuccessor,
-  claimDuty,
+  claimPromotionLease,
   DEFAULT_FAILOVER,
   groupId,
   hasEnoughReports,
   hostId,
-  judgeSuspicion,
-  keepsFormer,
-  keptSuccessor,
+  decideFailover,
+  shouldKeepFormerPrimary,
+  retainedSuccessor,
   namedRecord,
   RecordPhase,
   upstreamId,
@@ -30,12 +30,12 @@
   verdict: string;
   reports: readonly SuccessorReport[];
   former: string;
-  seen: SeenDuty | undefined;
-  claim: DutyClaim;
+  seen: SeenPromotionLease | undefined;
+  claim: PromotionLeaseClaim;
   order: readonly HostId[];
   enough: boolean;
   named: PrimaryRecord;
-  standing: NamedStanding;
+  standing: SuccessorStatus;
 }
 
 Given(
@@ -46,7 +46,7 @@
 );
 
 When('it has failed the asking host for {int} ms', function (this: FailoverWorld, ms: number) {
-  this.verdict = judgeSuspicion(this.counts, ms, DEFAULT_FAILOVER);
+  this.verdict = decideFailover(this.counts, ms, DEFAULT_FAILOVER);
 });
 
 Then('the suspicion leads to {string}', function (this: FailoverWorld, verdict: string) {
@@ -107,7 +107,12 @@
 When(
   'host {string} of incarnation {int} wants the duty at {int} ms',
   function (this: FailoverWorld, host: string, incarnation: number, now: number) {
-    this.claim = claimDuty(this.seen, { host: hostId(host), incarnation }, now, DEFAULT_FAILOVER);
+    this.claim = claimPromotionLease(
+      this.seen,
+      { host: hostId(host), incarnation },
+      now,
+      DEFAULT_FAILOVER,
+    );
   },
 );
 
@@ -124,7 +129,7 @@
   function (this: FailoverWorld, ends: string) {
     const former = upstreamId(this.former);
     const held = this.reports.find((report) => report.id === former);
-    const keeps = keepsFormer(chooseSuccessor(this.reports, former), held);
+    const keeps = shouldKeepFormerPrimary(chooseSuccessor(this.reports, former), held);
     assert.equal(keeps ? 'ends with the former primary' : 'goes on', ends);
   },
 );
@@ -133,7 +138,7 @@
   'hosts ranked {string} look for who acts at {int} ms',
   function (this: FailoverWorld, ranked: string, now: number) {
     const hosts = ranked.split(',').map((host) => hostId(host));
-    this.order = actingOrder(hosts, this.seen, now, DEFAULT_FAILOVER);
+    this.order = failoverOrder(hosts, this.seen, now, DEFAULT_FAILOVER);
   },
 );
 
@@ -166,6 +171,6 @@
 );
 
 Then(/^the next claim names (u1|nobody)$/, function (this: FailoverWorld, next: string) {
-  const kept = keptSuccessor(this.named, this.standing);
+  const kept = retainedSuccessor(this.named, this.standing);
   assert.equal(kept?.id ?? 'nobody', next);
 });
--- a/packages/coordination/tests/homes.steps.ts
+++ b/packages/coordination/tests/homes.steps.ts
@@ -1,17 +1,17 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import type { HeardMember, HostId, Member } from '../src/index.js';
+import type { TrackedMember, HostId, Member } from '../src/index.js';
 import {
   azId,
   expiredMembers,
   groupId,
   heartbeatIntervalMs,
-  homePart,
+  homeShare,
   homesOf,
   hostId,
-  joinViews,
+  mergeViews,
   MemberState,
-  takeHeartbeat,
+  applyHeartbeat,
 } from '../src/index.js';
 
 interface HomesWorld {
@@ -92,15 +92,15 @@
 });
 
 Then(/^host "x" is (live|leaving|gone)$/, function (this: HomesWorld, state: string) {
-  assert.equal(joinViews(this.views)[0]?.state, state);
+  assert.equal(mergeViews(this.views)[0]?.state, state);
 });
 
 When(
   'a host beats at {string} and the relay judges at {int}',
   function (this: HomesWorld, beats: string, now: number) {
-    let heard: HeardMember | undefined;
+    let heard: TrackedMember | undefined;
     for (const at of beats.split(', ').map(Number)) {
-      heard = takeHeartbeat(heard, memberOf(1, MemberState.Live), at).heard;
+      heard = applyHeartbeat(heard, memberOf(1, MemberState.Live), at).heard;
     }
     this.told = heard === undefined ? [] : expiredMembers([heard], now, EXPIRE_MS);
   },
@@ -118,8 +118,8 @@
 );
 
 function partAfter(world: HomesWorld, now: number): number {
-  const rules = { homesPerGroup: world.homesPerGroup, surrenderMs: SURRENDER_MS };
-  return homePart(world.part, { since: 0, handedOver: false }, rules, now);
+  const rules = { homesPerGroup: world.homesPerGroup, releaseTimeoutMs: SURRENDER_MS };
+  return homeShare(world.part, { since: 0, handedOver: false }, rules, now);
 }
 
 function memberOf(incarnation: number, state: MemberState): Member {
--- a/packages/coordination/tests/loop-delay.steps.ts
+++ b/packages/coordination/tests/loop-delay.steps.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
-import { LoopDelay } from '../src/index.js';
+import { EventLoopMonitor } from '../src/index.js';
 
 interface LoopDelayWorld {
-  loop: LoopDelay;
+  loop: EventLoopMonitor;
   judged: number[];
 }
 
@@ -14,8 +14,8 @@
 }
 
 When(/^ticks come at ([\d,]+) ms$/, function (this: LoopDelayWorld, ticks: string) {
-  this.loop = new LoopDelay(INTERVAL_MS, 0);
-  this.judged = timesOf(ticks).filter((at) => this.loop.noteTick(at));
+  this.loop = new EventLoopMonitor(INTERVAL_MS, 0);
+  this.judged = timesOf(ticks).filter((at) => this.loop.recordTick(at));
 });
 
 Then(/^others are judged in ([\d,]+)$/, function (this: LoopDelayWorld, judged: string) {
--- a/packages/coordination/tests/near-homes.steps.ts
+++ b/packages/coordination/tests/near-homes.steps.ts
@@ -58,7 +58,7 @@
   function (this: NearHomesWorld, zones: string, usable: number, farUsable: number) {
     this.upstreamZones = new Set(namesOf(zones).map(azId));
     const { upstreamZones } = this;
-    const near = { group: GROUP, upstreamZones, usable, farUsable, isBound: false };
+    const near = { group: GROUP, upstreamZones, usable, farUsable, isDedicated: false };
     this.plan = planNearHomes(near, this.zones, this.topology);
   },
 );
--- a/packages/coordination/tests/primary-gap.steps.ts
+++ b/packages/coordination/tests/primary-gap.steps.ts
@@ -1,11 +1,16 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import type { GapView } from '../src/index.js';
-import { DEFAULT_GAP, expectedGapEnd, isWorthHolding, learnPromotionMs } from '../src/index.js';
+import type { OutageView } from '../src/index.js';
+import {
+  DEFAULT_OUTAGE_ESTIMATES,
+  expectedOutageEnd,
+  shouldHoldStatement,
+  updatedPromotionMs,
+} from '../src/index.js';
 
 interface GapWorld {
   promotionMs: number;
-  view: GapView;
+  view: OutageView;
   arrivedAt: number;
   timeoutMs: number;
 }
@@ -22,7 +27,7 @@
     }),
   );
   this.view = {
-    unprovenSince: since.get('unproven'),
+    unprovedSince: since.get('unproven'),
     claimedAt: since.get('claimed'),
     failingSince: since.get('failing'),
   };
@@ -31,8 +36,8 @@
 Then(
   'at {int} ms the primary is expected at {int} ms',
   function (this: GapWorld, now: number, expected: number) {
-    const pace = { promotionMs: this.promotionMs, ...DEFAULT_GAP };
-    assert.equal(expectedGapEnd(this.view, pace, now), expected);
+    const pace = { promotionMs: this.promotionMs, ...DEFAULT_OUTAGE_ESTIMATES };
+    assert.equal(expectedOutageEnd(this.view, pace, now), expected);
   },
 );
 
@@ -47,13 +52,13 @@
 Then(
   /^it (waits|is refused) for a primary expected at (\d+) ms$/,
   function (this: GapWorld, does: string, expected: string) {
-    const holds = isWorthHolding(Number(expected), this.arrivedAt, this.timeoutMs);
+    const holds = shouldHoldStatement(Number(expected), this.arrivedAt, this.timeoutMs);
     assert.equal(holds, does === 'waits');
   },
 );
 
 When('one takes {int} ms', function (this: GapWorld, tookMs: number) {
-  this.promotionMs = learnPromotionMs(this.promotionMs, tookMs);
+  this.promotionMs = updatedPromotionMs(this.promotionMs, tookMs);
 });
 
 Then('promotions are expected to take {int} ms', function (this: GapWorld, expected: number) {
--- a/packages/coordination/tests/read-routing.steps.ts
+++ b/packages/coordination/tests/read-routing.steps.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import type { ReadChoice, ReadNeed, UpstreamView } from '../src/index.js';
+import type { ReadChoice, ReadRequirements, UpstreamView } from '../src/index.js';
 import {
   AcknowledgementKind,
   azId,
   CoveringReplicaRouting,
   groupId,
-  SessionRule,
+  SessionGuarantee,
   ORIGIN,
   SeededRandom,
   upstreamId,
@@ -26,7 +26,12 @@
   served: Map<string, number>;
 }
 
-const NEED: ReadNeed = { floor: ORIGIN, barrier: false, maxAgeMs: undefined, maxWaitMs: 20 };
+const NEED: ReadRequirements = {
+  floor: ORIGIN,
+  barrier: false,
+  maxAgeMs: undefined,
+  maxWaitMs: 20,
+};
 
 Given(
   'upstreams {string} in zones {string} with primary {string} and lineage {string}',
@@ -100,7 +105,11 @@
   },
 );
 
-function choose(world: RoutingWorld, need: ReadNeed, random = new SeededRandom(1)): ReadChoice {
+function choose(
+  world: RoutingWorld,
+  requirements: ReadRequirements,
+  random = new SeededRandom(1),
+): ReadChoice {
   const views = world.ids.map((id, index) => viewOf(world, id, index));
   const spec = {
     id: groupId('g'),
@@ -108,10 +117,17 @@
     connectionsPerUpstream: 12,
     defaultMaxAgeMs: 0,
     acknowledgement: AcknowledgementKind.Majority,
-    sessionRule: SessionRule.Monotonic,
+    sessionGuarantee: SessionGuarantee.Monotonic,
   };
   const { record } = world;
-  const input = { spec, record, az: azId(world.az), views, need, tried: new Set<never>() };
+  const input = {
+    spec,
+    record,
+    az: azId(world.az),
+    views,
+    requirements,
+    tried: new Set<never>(),
+  };
   return new CoveringReplicaRouting().choose(input, random);
 }
 
--- a/packages/coordination/tests/reads-and-room.steps.ts
+++ b/packages/coordination/tests/reads-and-room.steps.ts
@@ -1,6 +1,13 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import type { AzId, HomePlan, HostId, Position, UpstreamLoad, UpstreamRoom } from '../src/index.js';
+import type {
+  AzId,
+  HomePlan,
+  HostId,
+  Position,
+  UpstreamLoad,
+  UpstreamCapacity,
+} from '../src/index.js';
 import {
   Distance,
   azId,
@@ -9,17 +16,17 @@
   hostId,
   homesOfWorkspace,
   hostsByZone,
-  MarkLog,
+  WatermarkLog,
   planHomes,
   readFloor,
-  Reuse,
+  ConnectionAvailability,
   SeededRandom,
   upstreamId,
   workspaceId,
 } from '../src/index.js';
 
 interface ReadWorld {
-  marks: MarkLog;
+  marks: WatermarkLog;
   floor: Position | undefined;
   loads: readonly UpstreamLoad[];
   plan: HomePlan;
@@ -34,7 +41,7 @@
 }
 
 Given('marks {string} under epoch 2', function (this: ReadWorld, marks: string) {
-  this.marks = new MarkLog(EPOCH);
+  this.marks = new WatermarkLog(EPOCH);
   for (const mark of marks.split(',')) {
     const [sentAt, position] = mark.split(':');
     this.marks.add({ sentAt: Number(sentAt), position: positionOf(position ?? '') });
@@ -67,7 +74,9 @@
       inFlight: Number(inFlight),
       meanMs: Number(meanMs),
       avoidUntil: Number(avoidUntil ?? '0'),
-      reuse: Object.values(Reuse).find((any) => any === reuse) ?? Reuse.Ready,
+      availability:
+        Object.values(ConnectionAvailability).find((any) => any === reuse) ??
+        ConnectionAvailability.Ready,
     };
   });
 });
@@ -77,7 +86,7 @@
   assert.equal(chooseUpstream(this.loads, TARGET_LATENCY_MS, now, random), id);
 });
 
-function planFor(zones: number, hosts: number, room: UpstreamRoom): HomePlan {
+function planFor(zones: number, hosts: number, room: UpstreamCapacity): HomePlan {
   const listed = Array.from({ length: zones * hosts }, (_, index) => ({
     host: hostId(`h${index}`),
     az: azId(`z${index % zones}`),
--- a/packages/coordination/tests/region-order.steps.ts
+++ b/packages/coordination/tests/region-order.steps.ts
@@ -4,11 +4,11 @@
 import {
   azId,
   hostId,
-  regionFirst,
+  prioritizeRegion,
   regionId,
-  regionOfMost,
+  dominantRegion,
   Topology,
-  zonesToAskForHelp,
+  fallbackZones,
 } from '../src/index.js';
 
 interface RegionWorld {
@@ -29,7 +29,7 @@
 });
 
 Then('most of them stand in region {string}', function (this: RegionWorld, region: string) {
-  assert.equal(regionOfMost(this.zones, this.topology) ?? 'none', region);
+  assert.equal(dominantRegion(this.zones, this.topology) ?? 'none', region);
 });
 
 When(
@@ -38,7 +38,11 @@
     const hosts = ranked.split(',').map(hostId);
     const regionOf = (host: HostId): RegionId | undefined =>
       this.topology.regionOf(azId(host.split('-')[0] ?? ''));
-    this.order = regionFirst(hosts, region === 'none' ? undefined : regionId(region), regionOf);
+    this.order = prioritizeRegion(
+      hosts,
+      region === 'none' ? undefined : regionId(region),
+      regionOf,
+    );
   },
 );
 
@@ -50,7 +54,7 @@
   'at an age of {int} ms it asks among hosts of zones {string} of {string}',
   function (this: RegionWorld, ageMs: number, asked: string, zones: string) {
     const all = zones.split(',').map(azId);
-    const found = zonesToAskForHelp(azId('a1'), all, this.topology, ageMs);
+    const found = fallbackZones(azId('a1'), all, this.topology, ageMs);
     assert.equal(found.join(','), asked);
   },
 );
--- a/packages/coordination/tests/renewal-order.steps.ts
+++ b/packages/coordination/tests/renewal-order.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { Given, Then } from '@cucumber/cucumber';
-import { renewalDueAge, renewalPause } from '../src/index.js';
+import { renewalDueAge, renewalIntervalMs } from '../src/index.js';
 
 interface RenewalWorld {
   zones: number;
@@ -29,7 +29,7 @@
   /^after (\d+) failed rounds place (\d+) pauses for "(\w+)" ms, (proven|isolated)$/,
   function (failed: string, rank: string, pauseMs: string, state: string) {
     const place = { zone: 0, rank: Number(rank) };
-    assert.equal(renewalPause(place, Number(failed), state === 'isolated'), Number(pauseMs));
+    assert.equal(renewalIntervalMs(place, Number(failed), state === 'isolated'), Number(pauseMs));
   },
 );
 
@@ -47,7 +47,7 @@
     let rounds = 0;
     for (let zone = 0; zone < this.zones; zone += 1) {
       for (let rank = 0; rank < this.hosts; rank += 1) {
-        rounds += MS_PER_S / renewalPause({ zone, rank }, MANY_FAILED, true);
+        rounds += MS_PER_S / renewalIntervalMs({ zone, rank }, MANY_FAILED, true);
       }
     }
     assert.ok(rounds <= most, `${rounds} rounds a second`);
--- a/packages/coordination/tests/retry-budget.steps.ts
+++ b/packages/coordination/tests/retry-budget.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
-import { RetryAllowance } from '../src/index.js';
+import { RetryLimiter } from '../src/index.js';
 
 interface RetryWorld {
   granted: number;
@@ -9,11 +9,11 @@
 When(
   '{int} requests want a retry each with share {float} and burst {int}',
   function (this: RetryWorld, requests: number, share: number, burst: number) {
-    const allowance = new RetryAllowance({ share, burst });
+    const allowance = new RetryLimiter({ share, burst });
     this.granted = 0;
     for (let i = 0; i < requests; i += 1) {
-      allowance.noteRequest();
-      if (allowance.take()) this.granted += 1;
+      allowance.recordRequest();
+      if (allowance.tryAcquire()) this.granted += 1;
     }
   },
 );
--- a/packages/coordination/tests/store-position.steps.ts
+++ b/packages/coordination/tests/store-position.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { Given, Then } from '@cucumber/cucumber';
 import type { StorePosition } from '../src/index.js';
-import { isLater, isSamePosition, laterOf, storePositionText } from '../src/index.js';
+import { isLater, isSamePosition, laterOf, formatStorePosition } from '../src/index.js';
 
 interface PositionWorld {
   one: StorePosition;
@@ -26,5 +26,5 @@
   const isNeither = later === 'neither';
   assert.equal(isLater(one, other) || isLater(other, one), !isNeither);
   assert.equal(isSamePosition(one, other), isNeither);
-  if (!isNeither) assert.equal(storePositionText(laterOf(one, other)), later);
+  if (!isNeither) assert.equal(formatStorePosition(laterOf(one, other)), later);
 });
--- a/packages/coordination/tests/suspicion.steps.ts
+++ b/packages/coordination/tests/suspicion.steps.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import { Given, Then } from '@cucumber/cucumber';
-import type { GroupRecord, PrimaryMark, UpstreamId } from '../src/index.js';
+import type { GroupRecord, PrimaryWatermark, UpstreamId } from '../src/index.js';
 import {
   AcknowledgementKind,
   authorityAt,
   azId,
   DEFAULT_DAMPING,
   groupId,
-  SessionRule,
-  isAgreed,
+  SessionGuarantee,
+  isSuspectedByMajority,
   isSuspect,
-  neededSuspicionMs,
+  requiredSuspicionMs,
   UpstreamState,
 } from '../src/index.js';
 import { parseTimedReports } from './notation.js';
@@ -19,7 +19,7 @@
   members: readonly UpstreamId[];
   record: GroupRecord;
   since: number;
-  marks: readonly PrimaryMark[];
+  marks: readonly PrimaryWatermark[];
   now: number;
   reports: ReturnType<typeof parseTimedReports>;
 }
@@ -55,7 +55,7 @@
     connectionsPerUpstream: 12,
     defaultMaxAgeMs: 0,
     acknowledgement: AcknowledgementKind.Majority,
-    sessionRule: SessionRule.Monotonic,
+    sessionGuarantee: SessionGuarantee.Monotonic,
   };
   const { record, marks, members } = this;
   const input = {
@@ -76,19 +76,19 @@
     const list = zones.split(', ').map(azId);
     const named = suspecting.split(', ');
     const opinions = list.map((az) => ({ az, suspects: named.includes(az) }));
-    assert.equal(isAgreed(list, opinions) ? 'agreed' : 'not agreed', agreed);
+    assert.equal(isSuspectedByMajority(list, opinions) ? 'agreed' : 'not agreed', agreed);
   },
 );
 
 Then(
   'at time {int} suspicion must last {int} ms, and {int} ms after a promotion at {int}',
   (now: number, usual: number, longer: number, promotedAt: number) => {
-    assert.equal(neededSuspicionMs(usual, undefined, now, DEFAULT_DAMPING), usual);
-    assert.equal(neededSuspicionMs(usual, promotedAt, now, DEFAULT_DAMPING), longer);
+    assert.equal(requiredSuspicionMs(usual, undefined, now, DEFAULT_DAMPING), usual);
+    assert.equal(requiredSuspicionMs(usual, promotedAt, now, DEFAULT_DAMPING), longer);
   },
 );
 
-function markOf(text: string): PrimaryMark {
+function markOf(text: string): PrimaryWatermark {
   const [offset, at] = text.split('@').map(Number);
   return { sentAt: at ?? 0, position: { term: 1, offset: offset ?? 0 } };
 }
--- a/packages/coordination/tests/upstream-identity.steps.ts
+++ b/packages/coordination/tests/upstream-identity.steps.ts
@@ -1,30 +1,30 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import type { Birth, Position, PrimaryRecord, UpstreamIdentity } from '../src/index.js';
+import type { StartTime, Position, PrimaryRecord, UpstreamIdentity } from '../src/index.js';
 import {
   DEFAULT_AUTHORITY,
   groupId,
   hasAuthority,
-  hasGoneBack,
+  hasRegressed,
   hostId,
   mayBeSameUpstream,
-  MarkLog,
+  WatermarkLog,
   RecordPhase,
   upstreamId,
-  withKnownBirth,
+  withKnownStartTime,
 } from '../src/index.js';
 
 interface IdentityWorld {
   known: UpstreamIdentity | undefined;
   told: UpstreamIdentity;
-  marks: MarkLog;
+  marks: WatermarkLog;
   position: Position | undefined;
 }
 
 const ID = upstreamId('u1');
 
 function upstreamBornAt(text: string): UpstreamIdentity {
-  const born: Birth = text === '' ? undefined : Number(text);
+  const born: StartTime = text === '' ? undefined : Number(text);
   return { id: ID, born };
 }
 
@@ -57,7 +57,7 @@
       born: this.known.born,
       holder: hostId('h'),
     };
-    const view = { record, provedAt: 0, primaryBorn: this.told.born };
+    const view = { record, provedAt: 0, primaryStartTime: this.told.born };
     assert.equal(hasAuthority(view, 0, DEFAULT_AUTHORITY), may === 'may');
   },
 );
@@ -67,7 +67,7 @@
 });
 
 When('its next entry tells a birth at {string}', function (this: IdentityWorld, born: string) {
-  this.told = withKnownBirth(this.known, upstreamBornAt(born));
+  this.told = withKnownStartTime(this.known, upstreamBornAt(born));
 });
 
 Then('the birth known is {string}', function (this: IdentityWorld, born: string) {
@@ -77,7 +77,7 @@
 Given(
   'a primary that told the positions {string} under epoch {int}',
   function (this: IdentityWorld, seen: string, epoch: number) {
-    this.marks = new MarkLog(epoch);
+    this.marks = new WatermarkLog(epoch);
     for (const [index, text] of seen.split(',').entries()) {
       const position = positionOf(text);
       if (position !== undefined) this.marks.add({ sentAt: index, position });
@@ -94,5 +94,5 @@
 );
 
 Then(/^it (has|has not) lost its log$/, function (this: IdentityWorld, has: string) {
-  assert.equal(hasGoneBack(this.marks.highest, this.position), has === 'has');
+  assert.equal(hasRegressed(this.marks.highest, this.position), has === 'has');
 });
--- a/packages/coordination/tests/workspace-limits.steps.ts
+++ b/packages/coordination/tests/workspace-limits.steps.ts
@@ -2,7 +2,12 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
 import type { Allowance, LimitTolerance, WorkspaceLimit } from '../src/index.js';
-import { begunAllowance, DemandShare, grantOperations, sparePerWindow } from '../src/index.js';
+import {
+  initialAllowance,
+  LocalLimiter,
+  grantOperations,
+  tolerancePerWindow,
+} from '../src/index.js';
 
 const MS_PER_SECOND = 1000;
 const WINDOW_MS = 5000;
@@ -15,14 +20,14 @@
   allowance: Allowance;
   granted: number[];
   retryAfterMs: number;
-  share: DemandShare;
+  share: LocalLimiter;
 }
 
 Given(
   'a limit of {int} a second and a burst of {int}, kept since {int} ms',
   function (this: LimitWorld, ratePerS: number, burst: number, since: number) {
     this.limit = { ratePerS, burst };
-    this.allowance = begunAllowance(this.limit, TOLERANCE, since);
+    this.allowance = initialAllowance(this.limit, TOLERANCE, since);
     this.granted = [];
   },
 );
@@ -59,9 +64,9 @@
 );
 
 Given('a host that admitted operations at {string}', function (this: LimitWorld, admitted: string) {
-  this.share = new DemandShare(WINDOW_MS);
+  this.share = new LocalLimiter(WINDOW_MS);
   if (admitted === 'none') return;
-  for (const at of admitted.split(',')) this.share.note(Number(at));
+  for (const at of admitted.split(',')) this.share.recordAdmission(Number(at));
 });
 
 Then(
@@ -70,8 +75,8 @@
     let admitted = 0;
     for (let index = 0; index < count; index += 1) {
       const now = from + ((to - from) * index) / count;
-      if (!this.share.hasRoom(now)) continue;
-      this.share.note(now);
+      if (!this.share.canAdmit(now)) continue;
+      this.share.recordAdmission(now);
       admitted += 1;
     }
     assert.equal(admitted, alone);
@@ -126,7 +131,7 @@
   private readonly changes: number[] = [];
 
   constructor(private readonly mistake: Mistake) {
-    this.keeper = begunAllowance(FULL, TOLERANCE, 0);
+    this.keeper = initialAllowance(FULL, TOLERANCE, 0);
   }
 
   play(steps: readonly CourseStep[], loweredBefore: number): void {
@@ -150,7 +155,7 @@
   /** A lowered limit binds a window after it is known everywhere. */
   private allowedAt(at: number): number {
     const limit = at - WINDOW_MS > this.loweredAt ? LOWERED : FULL;
-    return limit.ratePerS * TOLERANCE.windowS + limit.burst + sparePerWindow(limit, TOLERANCE);
+    return limit.ratePerS * TOLERANCE.windowS + limit.burst + tolerancePerWindow(limit, TOLERANCE);
   }
 
   private flood(operations: number): void {
@@ -170,7 +175,7 @@
     if (recent.length >= CHANGES_PER_WINDOW) return;
     this.changes.push(this.now);
     if (isReplaced && this.mistake === Mistake.CutOffKeeper) this.former = this.keeper;
-    this.keeper = begunAllowance(this.limit, TOLERANCE, this.now);
+    this.keeper = initialAllowance(this.limit, TOLERANCE, this.now);
     if (this.mistake !== Mistake.FreshBurst) return;
     this.keeper = { ...this.keeper, level: this.keeper.level + this.limit.burst };
   }
--- a/packages/gateway/src/control/control-plane.ts
+++ b/packages/gateway/src/control/control-plane.ts
@@ -3,7 +3,7 @@
  */
 import { connect } from 'node:net';
 import type { GroupId } from '@gladespool/coordination';
-import { azId, LoopDelay } from '@gladespool/coordination';
+import { azId, EventLoopMonitor } from '@gladespool/coordination';
 import type { HostMetrics, Logger } from '@gladespool/observability';
 import { ControlTraffic, createLogger, DISTANCE_LABELS } from '@gladespool/observability';
 import type { PeerAddress } from '@gladespool/peers';
@@ -83,7 +83,7 @@
   private readonly opener: EraOpener;
   private readonly probe: UpstreamProbe;
   private readonly promotions: PromotionController;
-  private readonly loop = new LoopDelay(TICK_MS, performance.now());
+  private readonly loop = new EventLoopMonitor(TICK_MS, performance.now());
   private timer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: ControlPlaneOptions) {
@@ -164,7 +164,7 @@
 
   private tick(): void {
     const now = performance.now();
-    const mayJudge = this.loop.noteTick(now);
+    const mayJudge = this.loop.recordTick(now);
     this.sync.tick(now);
     if (mayJudge) this.judgeOthers(now);
     else this.log.info('host-paused', { late_ms: Math.round(this.loop.delayMs) });
--- a/packages/gateway/src/control/hosts/host-retirer.ts
+++ b/packages/gateway/src/control/hosts/host-retirer.ts
@@ -76,9 +76,9 @@
    */
   private followers(): readonly HostEntry[] {
     const { board } = this.options;
-    const { isSpread } = board.topology;
+    const { isMultiRegion } = board.topology;
     const regionOf = ({ az }: HostEntry): string =>
-      (isSpread ? board.topology.regionOf(az) : undefined) ?? '';
+      (isMultiRegion ? board.topology.regionOf(az) : undefined) ?? '';
     const entries = [...board.hosts.values()].sort((a, b) => {
       const [region, other] = [regionOf(a), regionOf(b)];
       if (region !== other) return region < other ? -1 : 1;
--- a/packages/gateway/src/control/hosts/host-round.ts
+++ b/packages/gateway/src/control/hosts/host-round.ts
@@ -5,7 +5,7 @@
  * fewer are asked directly.
  */
 import type { AzId, HostId } from '@gladespool/coordination';
-import { Distance, hostId, storePositionText } from '@gladespool/coordination';
+import { Distance, hostId, formatStorePosition } from '@gladespool/coordination';
 import type { PeerHandler, PeerLink } from '@gladespool/peers';
 import type { Frame, FrameOf } from '@gladespool/protocol';
 import { FrameKind } from '@gladespool/protocol';
@@ -242,7 +242,7 @@
 function distinct(items: readonly StoreItem[]): Iterable<StoreItem> {
   const versions = new Map<string, StoreItem>();
   for (const item of items) {
-    versions.set(`${item.key} ${storePositionText(item.position)}`, item);
+    versions.set(`${item.key} ${formatStorePosition(item.position)}`, item);
   }
   return versions.values();
 }
--- a/packages/gateway/src/control/promotion/acting-hosts.ts
+++ b/packages/gateway/src/control/promotion/acting-hosts.ts
@@ -2,7 +2,12 @@
  * The order in which hosts act on the primary of each group, as every host works it out from the list.
  */
 import type { AzId, FailoverRules, GroupId, HostId, RegionId } from '@gladespool/coordination';
-import { actingOrder, rankCandidates, regionFirst, regionOfMost } from '@gladespool/coordination';
+import {
+  failoverOrder,
+  rankCandidates,
+  prioritizeRegion,
+  dominantRegion,
+} from '@gladespool/coordination';
 import type { GatewayBoard, HostEntry } from '../../knowledge/board.js';
 import { BoardSection } from '../../knowledge/board.js';
 import type { StoreView } from '../store/store-view.js';
@@ -40,7 +45,7 @@
    */
   order(group: GroupId, now: number): readonly HostId[] {
     const { view, rules } = this.options;
-    return actingOrder(this.rankedFor(this.regionOfGroup(group)), view.seenDuty, now, rules);
+    return failoverOrder(this.rankedFor(this.regionOfGroup(group)), view.seenDuty, now, rules);
   }
 
   /** Place of this host in that order by group; -1 while it is not listed. Each region is looked at once. */
@@ -68,14 +73,14 @@
       const entry = hosts.get(host);
       return entry && topology.regionOf(entry.az);
     };
-    const ranked = regionFirst(this.rankedFor(undefined), region, regionOf);
+    const ranked = prioritizeRegion(this.rankedFor(undefined), region, regionOf);
     this.ranked.set(region, ranked);
     return ranked;
   }
 
   private regionOfGroup(group: GroupId): RegionId | undefined {
     const { topology } = this.options.board;
-    if (!topology.isSpread) return undefined;
+    if (!topology.isMultiRegion) return undefined;
     this.regions ??= this.regionsOfGroups();
     return this.regions.get(group);
   }
@@ -86,6 +91,8 @@
     for (const { group, az } of upstreams.values()) {
       zones.set(group, [...(zones.get(group) ?? []), az]);
     }
-    return new Map([...zones].map(([group, all]) => [group, regionOfMost(all, topology)] as const));
+    return new Map(
+      [...zones].map(([group, all]) => [group, dominantRegion(all, topology)] as const),
+    );
   }
 }
--- a/packages/gateway/src/control/promotion/promotion-attempt.ts
+++ b/packages/gateway/src/control/promotion/promotion-attempt.ts
@@ -6,12 +6,12 @@
 import type { NamedSuccessor, PrimaryRecord, UpstreamIdentity } from '@gladespool/coordination';
 import {
   isMajority,
-  keptSuccessor,
+  retainedSuccessor,
   mayBeSameUpstream,
   namedRecord,
   RecordPhase,
   servingRecord,
-  silentHostFreeAt,
+  proofsExpiredAt,
 } from '@gladespool/coordination';
 import { FrameKind } from '@gladespool/protocol';
 import type { StoreItem } from '../store/metadata-store.js';
@@ -166,7 +166,7 @@
     const { board } = this.ctx;
     const { successor } = this.former;
     if (successor === undefined) return undefined;
-    return keptSuccessor(this.former, {
+    return retainedSuccessor(this.former, {
       isThere: entryOf(board, successor) !== undefined,
       isEvacuated: isEvacuated(board, successor.id),
       isRefused: this.refused !== undefined && mayBeSameUpstream(this.refused, successor),
@@ -197,12 +197,12 @@
     const now = performance.now();
     if (silent === 0) return Math.max(now, this.retiredHostsFreeAt());
     if (!isMajority(listed - silent, listed)) return undefined;
-    return silentHostFreeAt(majorityAt, this.ctx.authority);
+    return proofsExpiredAt(majorityAt, this.ctx.authority);
   }
 
   /** When hosts that were taken off the list shortly before hold no proof any more. */
   private retiredHostsFreeAt(): number {
-    return silentHostFreeAt(this.ctx.view.hostLastGoneAt, this.ctx.authority);
+    return proofsExpiredAt(this.ctx.view.hostLastGoneAt, this.ctx.authority);
   }
 
   /**
@@ -255,9 +255,9 @@
    * that does not reach it: the others get the time in which they may take the claim over.
    */
   private leaveToOthers(claim: RecordClaim): false {
-    const { dutyWindowMs, dutyGapMs } = this.ctx.rules;
+    const { leaseWindowMs, leaseGapMs } = this.ctx.rules;
     const isRepeated = claim.record.successor !== undefined;
-    if (isRepeated) this.notBefore = claim.sentAt + dutyWindowMs + dutyGapMs + OTHERS_TURN_MS;
+    if (isRepeated) this.notBefore = claim.sentAt + leaseWindowMs + leaseGapMs + OTHERS_TURN_MS;
     return this.giveUp('no-effect');
   }
 
--- a/packages/gateway/src/control/promotion/promotion-controller.ts
+++ b/packages/gateway/src/control/promotion/promotion-controller.ts
@@ -9,11 +9,11 @@
   UpstreamIdentity,
 } from '@gladespool/coordination';
 import {
-  FailoverVerdict,
+  FailoverDecision,
   groupId,
-  isGivenUp,
-  mayBeSameBirth,
-  judgeSuspicion,
+  acknowledgesClaim,
+  mayBeSameStartTime,
+  decideFailover,
   RecordPhase,
   recordRank,
 } from '@gladespool/coordination';
@@ -148,7 +148,8 @@
     const entry = this.options.context.board.upstreams.get(record.primary);
     if (entry === undefined) return unlistedPrimary(state, now);
     state.unlistedSince = undefined;
-    if (!mayBeSameBirth(record.born, entry.born)) return this.primaryBornAnew(record, state, now);
+    if (!mayBeSameStartTime(record.born, entry.born))
+      return this.primaryBornAnew(record, state, now);
     state.bornAnewSince = undefined;
     const deposed = this.deposedPrimary(record, now);
     if (deposed !== undefined) return deposed;
@@ -241,7 +242,7 @@
     const now = performance.now();
     this.options.reach.put(record.group, record.epoch, reaching, now);
     const verdict = this.judge(record, occasion, evidence, now);
-    return !leaves && verdict === FailoverVerdict.Promote;
+    return !leaves && verdict === FailoverDecision.Promote;
   }
 
   private judge(
@@ -249,10 +250,10 @@
     occasion: Occasion,
     evidence: ReachEvidence,
     now: number,
-  ): FailoverVerdict {
+  ): FailoverDecision {
     const { rules, log } = this.options.context;
     const failedMs = now - occasion.since + rules.suspectAfterMs;
-    const verdict = judgeSuspicion(evidence, failedMs, rules);
+    const verdict = decideFailover(evidence, failedMs, rules);
     log.info('suspicion-judged', {
       group: record.group,
       epoch: record.epoch,
@@ -272,7 +273,7 @@
     if (claim.verdict !== DocumentVerdict.Used || claim.document.kind !== 'primary') return;
     const { record } = claim.document;
     const held = board.record(record.group);
-    if (held === undefined || !isGivenUp(held, record)) return;
+    if (held === undefined || !acknowledgesClaim(held, record)) return;
     link.send({ kind: FrameKind.RevokeReply, id: ask.id });
   }
 
--- a/packages/gateway/src/control/promotion/record-claimer.ts
+++ b/packages/gateway/src/control/promotion/record-claimer.ts
@@ -2,7 +2,7 @@
  * Claims a group's record, and with it the duty, in one change of the store.
  */
 import type { NamedSuccessor, PrimaryRecord } from '@gladespool/coordination';
-import { claimDuty, claimedRecord, recordRank } from '@gladespool/coordination';
+import { claimPromotionLease, claimedRecord, recordRank } from '@gladespool/coordination';
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 import type { StoreChange, StoreItem } from '../store/metadata-store.js';
@@ -70,7 +70,7 @@
   private takeDuty(now: number): Result<number, ClaimRefusal> {
     const { self, view, rules } = this.ctx;
     const seen = view.seenDuty;
-    const duty = claimDuty(seen, self, now, rules);
+    const duty = claimPromotionLease(seen, self, now, rules);
     if (duty.kind === 'take') return ok(duty.fence);
     this.log.info('promotion-waits-for-duty', {
       holder: seen?.holder,
--- a/packages/gateway/src/control/promotion/successor-lead.ts
+++ b/packages/gateway/src/control/promotion/successor-lead.ts
@@ -4,7 +4,7 @@
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { GroupId, NamedSuccessor, UpstreamIdentity } from '@gladespool/coordination';
-import { comparePositions, positionText } from '@gladespool/coordination';
+import { comparePositions, formatPosition } from '@gladespool/coordination';
 import type { StatusResult } from '../../home/upstream-probe.js';
 import type { UpstreamStatus } from '../../model/upstream-wire.js';
 import { PromotionAnswer } from './promotion-call.js';
@@ -48,7 +48,7 @@
   async call(claim: RecordClaim, successor: UpstreamIdentity): Promise<CallEnd> {
     const upstream = successor.id;
     const { port, self, rules, board, view } = this.ctx;
-    const windowEnd = claim.sentAt + rules.dutyWindowMs;
+    const windowEnd = claim.sentAt + rules.leaseWindowMs;
     for (let leftMs = windowEnd - performance.now(); leftMs > 0;) {
       if (entryOf(board, successor) === undefined) return CallEnd.Unsettled;
       if (isEvacuated(board, upstream)) return CallEnd.Unsettled;
@@ -102,8 +102,8 @@
     this.log.info('promotion-took-effect', {
       upstream: id,
       term: status.term,
-      received: positionText(status.received),
-      applied: applied && positionText(applied),
+      received: formatPosition(status.received),
+      applied: applied && formatPosition(applied),
       led_before: isPrimary,
     });
   }
--- a/packages/gateway/src/control/promotion/successor-search.ts
+++ b/packages/gateway/src/control/promotion/successor-search.ts
@@ -6,8 +6,8 @@
 import {
   chooseCoveringSuccessor,
   Distance,
-  mayBeSameBirth,
-  keepsFormer,
+  mayBeSameStartTime,
+  shouldKeepFormerPrimary,
 } from '@gladespool/coordination';
 import type { UpstreamEntry } from '../../model/catalog.js';
 import type { PromotionContext } from './promotion-context.js';
@@ -76,7 +76,7 @@
           former_received: held?.received.offset,
           reports: reports.length,
         });
-        return { successor: chosen, keepsFormer: keepsFormer(chosen, held) };
+        return { successor: chosen, keepsFormer: shouldKeepFormerPrimary(chosen, held) };
       }
       await pause(POLL_MS);
     }
@@ -94,7 +94,7 @@
   ): Comparison {
     const chosen = this.choose(former, reports, confirming);
     const held = reports.find(
-      ({ id, born }) => id === former.primary && mayBeSameBirth(former.born, born),
+      ({ id, born }) => id === former.primary && mayBeSameStartTime(former.born, born),
     );
     return { chosen, held };
   }
@@ -152,7 +152,7 @@
   former: PrimaryRecord,
   reports: readonly SuccessorReport[],
 ): SuccessorReport | undefined {
-  return reports.find(({ born }) => !mayBeSameBirth(former.born, born));
+  return reports.find(({ born }) => !mayBeSameStartTime(former.born, born));
 }
 
 /**
--- a/packages/gateway/src/control/proofs/peer-renewer.ts
+++ b/packages/gateway/src/control/proofs/peer-renewer.ts
@@ -3,8 +3,8 @@
  * listed hosts, and counts if more than half of them answer. Mostly one host of the deployment asks; the
  * rest get the proof from it, and ask for themselves only once that is late.
  */
-import type { AuthorityRules, LoopDelay } from '@gladespool/coordination';
-import { hostId, renewalCounts, renewalDueAge, renewalPause } from '@gladespool/coordination';
+import type { AuthorityRules, EventLoopMonitor } from '@gladespool/coordination';
+import { hostId, isRenewalValid, renewalDueAge, renewalIntervalMs } from '@gladespool/coordination';
 import type { Logger } from '@gladespool/observability';
 import type { PeerHandler, PeerLink } from '@gladespool/peers';
 import type { Frame } from '@gladespool/protocol';
@@ -24,7 +24,7 @@
   readonly order: RelayOrder;
   readonly proofs: ProofKeeper;
   readonly round: HostRound;
-  readonly loop: Pick<LoopDelay, 'pausedMsSince'>;
+  readonly loop: Pick<EventLoopMonitor, 'pausedMsSince'>;
   readonly authority: AuthorityRules;
   readonly log: Logger;
 }
@@ -49,12 +49,12 @@
     const { board, order, loop } = this.options;
     const place = { zone: order.zonePlace, rank: order.rank };
     const ageMs = now - board.provenSince - loop.pausedMsSince(board.provenSince);
-    if (ageMs < renewalDueAge(place, board.topology.isSpread)) {
+    if (ageMs < renewalDueAge(place, board.topology.isMultiRegion)) {
       if (ageMs < this.firstDueAge) this.noteStore(now);
       return;
     }
     const isIsolated = board.isIsolated(now, this.options.authority);
-    const pauseMs = renewalPause(place, this.failed, isIsolated);
+    const pauseMs = renewalIntervalMs(place, this.failed, isIsolated);
     if (this.asking || now - this.lastAskAt < pauseMs) return;
     this.lastAskAt = now;
     void this.renew(now);
@@ -87,7 +87,7 @@
     });
     this.asking = false;
     const renewal = { listed: list.listed, answered, listReadAt: list.readAt };
-    const counts = renewalCounts(renewal, performance.now(), this.options.authority);
+    const counts = isRenewalValid(renewal, performance.now(), this.options.authority);
     this.noteRound(counts, answered, list.listed);
     this.failed = counts ? 0 : this.failed + 1;
     if (counts) proofs.noteRenewal(sentAt, list);
@@ -111,7 +111,7 @@
 
   /** Age of a proof from which the first of all hosts asks, milliseconds. */
   private get firstDueAge(): number {
-    return renewalDueAge({ zone: 0, rank: 0 }, this.options.board.topology.isSpread);
+    return renewalDueAge({ zone: 0, rank: 0 }, this.options.board.topology.isMultiRegion);
   }
 
   private noteStore(now: number): void {
--- a/packages/gateway/src/control/proofs/proof-keeper.ts
+++ b/packages/gateway/src/control/proofs/proof-keeper.ts
@@ -4,7 +4,7 @@
  * their records to be those of the store. Its cost does not grow with the number of hosts.
  */
 import type { GladespoolError, StorePosition } from '@gladespool/coordination';
-import { isLater, storePositionText } from '@gladespool/coordination';
+import { isLater, formatStorePosition } from '@gladespool/coordination';
 import type { Logger } from '@gladespool/observability';
 import { DocumentVerdict } from '@gladespool/observability';
 import type { GatewayBoard, HostEntry } from '../../knowledge/board.js';
@@ -213,8 +213,8 @@
     setTimeout(() => {
       if (!isLater(position, view.position)) return;
       log.info('watch-behind', {
-        position: storePositionText(view.position),
-        store_position: storePositionText(position),
+        position: formatStorePosition(view.position),
+        store_position: formatStorePosition(position),
       });
       follower.resync();
     }, rules.intervalMs / 2);
--- a/packages/gateway/src/control/proofs/sync-service.ts
+++ b/packages/gateway/src/control/proofs/sync-service.ts
@@ -4,8 +4,8 @@
  * Questions wait at the other host until it has something newer. Whoever loses the store asks any host
  * that still has it, and hosts stand in for those before them in order.
  */
-import type { AzId, LoopDelay } from '@gladespool/coordination';
-import { hostId, isLater, laterOf, STORE_START, zonesToAskForHelp } from '@gladespool/coordination';
+import type { AzId, EventLoopMonitor } from '@gladespool/coordination';
+import { hostId, isLater, laterOf, STORE_START, fallbackZones } from '@gladespool/coordination';
 import type { Logger } from '@gladespool/observability';
 import type { PeerAddress, PeerHandler, PeerLink } from '@gladespool/peers';
 import type { Frame, FrameOf } from '@gladespool/protocol';
@@ -72,7 +72,7 @@
   readonly order: RelayOrder;
   readonly documents: DocumentExchange;
   readonly calls: PeerCalls;
-  readonly loop: Pick<LoopDelay, 'pausedMsSince'>;
+  readonly loop: Pick<EventLoopMonitor, 'pausedMsSince'>;
   /** Hosts to ask before any is known. */
   readonly seeds: readonly PeerAddress[];
   readonly rules: SyncRules;
@@ -239,7 +239,7 @@
     this.turn += 1;
     const others = order.hosts.filter((entry) => entry.host !== board.host);
     const all = [...new Set([...board.hosts.values()].map((entry) => entry.az))];
-    const zones = zonesToAskForHelp(board.az, all, board.topology, this.ageAt(now));
+    const zones = fallbackZones(board.az, all, board.topology, this.ageAt(now));
     const az = inTurn(zones, this.turn);
     const seed = board.hosts.size > 1 ? undefined : inTurn(seeds, this.turn);
     const helpful = this.helpfulIn(zones);
--- a/packages/gateway/src/control/store/board-publisher.ts
+++ b/packages/gateway/src/control/store/board-publisher.ts
@@ -6,11 +6,11 @@
   AzId,
   GroupId,
   HostId,
-  LapseRules,
+  ExpiryRules,
   StorePosition,
   UpstreamId,
 } from '@gladespool/coordination';
-import { recordInDoubt, storePositionText } from '@gladespool/coordination';
+import { placeholderRecord, formatStorePosition } from '@gladespool/coordination';
 import type { Logger } from '@gladespool/observability';
 import { BoardSection } from '../../knowledge/board.js';
 import type { GatewayBoard, HostEntry } from '../../knowledge/board.js';
@@ -42,7 +42,7 @@
     private readonly board: GatewayBoard,
     private readonly documents: HeldDocuments,
     private readonly log: Logger,
-    lapse: LapseRules,
+    lapse: ExpiryRules,
     private readonly era: EraDoubts,
   ) {
     this.lapsed = new LapsedUpstreams(lapse, log);
@@ -67,7 +67,7 @@
         this.log.info('record-taken', {
           ...record,
           successor,
-          position: storePositionText(position),
+          position: formatStorePosition(position),
         });
         return;
       }
@@ -166,7 +166,7 @@
     if (!this.board.putCatalog(catalog)) return;
     this.log.info('catalog-in-force', {
       version: catalog.version,
-      position: storePositionText(position),
+      position: formatStorePosition(position),
     });
     const used = this.upstreams();
     const shown = this.board.upstreams;
@@ -175,14 +175,14 @@
   }
 
   private doubtRecord(group: GroupId, position: StorePosition): void {
-    const record = recordInDoubt(group, this.board.record(group), position);
+    const record = placeholderRecord(group, this.board.record(group), position);
     if (!this.board.putRecord(record)) return;
     const { epoch, primary } = record;
     this.log.warn('record-in-doubt', {
       group,
       epoch,
       primary,
-      position: storePositionText(position),
+      position: formatStorePosition(position),
     });
   }
 
@@ -196,14 +196,14 @@
     this.lastInUseAt.set(az, inUseAt);
     this.log.info('zone-evacuated', {
       az,
-      position: storePositionText(position),
+      position: formatStorePosition(position),
       at_most_ms: Math.round(now - inUseAt),
     });
   }
 
   private endEvacuation(az: AzId, position: StorePosition): void {
     this.lastInUseAt.delete(az);
-    this.log.info('evacuation-ended', { az, position: storePositionText(position) });
+    this.log.info('evacuation-ended', { az, position: formatStorePosition(position) });
   }
 
   /** Notes which section of the board a document changes; one that was only written again changes none. */
--- a/packages/gateway/src/control/store/document-exchange.ts
+++ b/packages/gateway/src/control/store/document-exchange.ts
@@ -3,7 +3,7 @@
  * a time, with time enough for a long configuration on a slow link.
  */
 import type { StorePosition } from '@gladespool/coordination';
-import { isSamePosition, storePositionText } from '@gladespool/coordination';
+import { isSamePosition, formatStorePosition } from '@gladespool/coordination';
 import type { Logger } from '@gladespool/observability';
 import type { PeerAddress, PeerHandler, PeerLink } from '@gladespool/peers';
 import type { Frame, FrameOf } from '@gladespool/protocol';
@@ -64,7 +64,10 @@
     const ask = (id: number) => ({ kind: FrameKind.DocumentsAsk, id, position }) as const;
     const result = await calls.ask(peer, ask, FETCH_TIMEOUT_MS);
     if (result.isErr() || result.value.kind !== FrameKind.DocumentsReply) {
-      log.info('documents-not-fetched', { from: peer.host, position: storePositionText(position) });
+      log.info('documents-not-fetched', {
+        from: peer.host,
+        position: formatStorePosition(position),
+      });
       return;
     }
     const reply = result.value;
--- a/packages/gateway/src/control/store/document-reader.ts
+++ b/packages/gateway/src/control/store/document-reader.ts
@@ -1,7 +1,7 @@
 /**
  * Reads what the metadata store holds, counts what became of it, and tells of documents that can't be used.
  */
-import { storePositionText } from '@gladespool/coordination';
+import { formatStorePosition } from '@gladespool/coordination';
 import type { HostMetrics, Logger } from '@gladespool/observability';
 import { DocumentVerdict } from '@gladespool/observability';
 import type { GatewayBoard } from '../../knowledge/board.js';
@@ -49,7 +49,7 @@
     verdict: DocumentVerdict,
     reading: DocumentReading<StoreDocument>,
   ): void {
-    const logged = { key: key.slice(0, MAX_TOLD_CHARS), position: storePositionText(position) };
+    const logged = { key: key.slice(0, MAX_TOLD_CHARS), position: formatStorePosition(position) };
     if (reading.verdict === DocumentVerdict.Unreadable) {
       const place = reading.place.slice(0, MAX_TOLD_CHARS);
       this.log.warn('store-document-unreadable', { ...logged, place });
--- a/packages/gateway/src/control/store/era-opener.ts
+++ b/packages/gateway/src/control/store/era-opener.ts
@@ -2,8 +2,8 @@
  * Opens a new era of the store, which has come back from a copy: gathers from the other hosts what the gateway had
  * written and the copy lacks, writes it back, and marks the era as one whose documents can be relied on.
  */
-import type { AuthorityRules, FormerHosts, StorePosition } from '@gladespool/coordination';
-import { claimedRecord, mayOpenEra, openingFence, UNKNOWN_HOST } from '@gladespool/coordination';
+import type { AuthorityRules, PreviousEraHosts, StorePosition } from '@gladespool/coordination';
+import { claimedRecord, mayOpenEra, initialFence, UNKNOWN_HOST } from '@gladespool/coordination';
 import type { HostMetrics, Logger } from '@gladespool/observability';
 import { FrameKind } from '@gladespool/protocol';
 import type { GatewayBoard, HostEntry } from '../../knowledge/board.js';
@@ -92,7 +92,7 @@
   }
 
   /** Asks the hosts that were listed in the era before for what they know, and takes it over. */
-  private async askFormer(): Promise<FormerHosts> {
+  private async askFormer(): Promise<PreviousEraHosts> {
     const { self, board, view, round } = this.options;
     const { formerHosts } = view.presentEra;
     if (formerHosts.size === 0) return { listed: 0, answered: 0, replaced: 0 };
@@ -111,10 +111,10 @@
   }
 
   /** The duty as the era begins with it, where the newest one known can't be left as the store has it. */
-  private dutyFor(former: FormerHosts): readonly Write[] {
+  private dutyFor(former: PreviousEraHosts): readonly Write[] {
     const { view } = this.options;
     const known = view.duty?.duty;
-    const fence = openingFence(known?.fence ?? 0, former);
+    const fence = initialFence(known?.fence ?? 0, former);
     const isHeard = fence === (known?.fence ?? 0);
     if (isHeard && !view.isLost(DUTY_KEY)) return [];
     const renewal = (known?.renewal ?? 0) + 1;
--- a/packages/gateway/src/control/store/lapsed-upstreams.ts
+++ b/packages/gateway/src/control/store/lapsed-upstreams.ts
@@ -1,8 +1,8 @@
 /**
  * Upstreams whose entries have vanished from the store, and what they count as meanwhile.
  */
-import type { LapseRules, UpstreamId } from '@gladespool/coordination';
-import { LapseStage, lapseStage } from '@gladespool/coordination';
+import type { ExpiryRules, UpstreamId } from '@gladespool/coordination';
+import { ExpiryStage, expiryStage } from '@gladespool/coordination';
 import type { Logger } from '@gladespool/observability';
 import type { UpstreamEntry } from '../../model/catalog.js';
 
@@ -12,7 +12,7 @@
   /** Local time from which the entry counts as missing. */
   since: number;
   /** What the upstream counted as at the latest review. */
-  stage: LapseStage;
+  stage: ExpiryStage;
 }
 
 /** The vanished entries that one host knows of. */
@@ -20,20 +20,20 @@
   private readonly lapses = new Map<UpstreamId, Lapse>();
 
   constructor(
-    private readonly rules: LapseRules,
+    private readonly rules: ExpiryRules,
     private readonly log: Logger,
   ) {}
 
   /** The upstreams that are still used, as they are to be treated. */
   get entries(): readonly UpstreamEntry[] {
     return [...this.lapses.values()].map(({ entry, stage }) =>
-      stage === LapseStage.Present ? entry : { ...entry, draining: true },
+      stage === ExpiryStage.Present ? entry : { ...entry, draining: true },
     );
   }
 
   /** Notes that an entry vanished; its upstream counts as before at first. */
   add(entry: UpstreamEntry, now: number): void {
-    this.lapses.set(entry.id, { entry, since: now, stage: LapseStage.Present });
+    this.lapses.set(entry.id, { entry, since: now, stage: ExpiryStage.Present });
     this.log.info('upstream-entry-missing', { upstream: entry.id, group: entry.group });
   }
 
@@ -64,7 +64,7 @@
 
   private advance(lapse: Lapse, now: number): boolean {
     const missingMs = now - lapse.since;
-    const stage = lapseStage(missingMs, this.rules);
+    const stage = expiryStage(missingMs, this.rules);
     if (stage === lapse.stage) return false;
     lapse.stage = stage;
     const { id, group } = lapse.entry;
@@ -73,7 +73,7 @@
       group,
       missing_ms: Math.round(missingMs),
     });
-    if (stage === LapseStage.Gone) this.lapses.delete(id);
+    if (stage === ExpiryStage.Gone) this.lapses.delete(id);
     return true;
   }
 }
--- a/packages/gateway/src/control/store/present-era.ts
+++ b/packages/gateway/src/control/store/present-era.ts
@@ -2,7 +2,7 @@
  * The present era of the store, as one host has come to know it.
  */
 import type { HostId, StorePosition } from '@gladespool/coordination';
-import { storePositionText } from '@gladespool/coordination';
+import { formatStorePosition } from '@gladespool/coordination';
 import type { HostMetrics, Logger } from '@gladespool/observability';
 import type { GatewayBoard } from '../../knowledge/board.js';
 
@@ -33,7 +33,7 @@
     this.isBeginning = true;
     this.formerHosts = this.listedProcesses();
     if (former.revision === 0) return;
-    this.log.warn('store-came-back-older', { era, former: storePositionText(former) });
+    this.log.warn('store-came-back-older', { era, former: formatStorePosition(former) });
     this.metrics.storeReturns.inc();
   }
 
--- a/packages/gateway/src/control/store/registrar.ts
+++ b/packages/gateway/src/control/store/registrar.ts
@@ -2,7 +2,7 @@
  * Keeps this host's entry in the metadata store. The entry has no lease: whoever changes a primary
  * asks every host that is listed, so it must not vanish while its host may hold a proof.
  */
-import { storePositionText } from '@gladespool/coordination';
+import { formatStorePosition } from '@gladespool/coordination';
 import type { Logger } from '@gladespool/observability';
 import type { GatewayBoard, HostEntry } from '../../knowledge/board.js';
 import type { MetadataStore, StoreItem } from './metadata-store.js';
@@ -57,7 +57,7 @@
     const isDue = !this.writing && performance.now() >= this.notBefore;
     if (this.isListed || this.board.draining || !isDue) return undefined;
     this.writing = true;
-    if (this.board.topology.isSpread) await this.measure();
+    if (this.board.topology.isMultiRegion) await this.measure();
     const registration = await this.write();
     this.writing = false;
     return registration;
@@ -75,7 +75,7 @@
     if (result.isOk() && result.value.kind === 'done') {
       const { position } = result.value;
       const { incarnation } = this.self;
-      this.log.info('registered', { incarnation, position: storePositionText(position) });
+      this.log.info('registered', { incarnation, position: formatStorePosition(position) });
       return { item: { ...write, position }, sentAt };
     }
     this.notBefore = performance.now() + RETRY_MS;
--- a/packages/gateway/src/control/store/store-follower.ts
+++ b/packages/gateway/src/control/store/store-follower.ts
@@ -4,7 +4,7 @@
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { GladespoolError } from '@gladespool/coordination';
-import { RetryReason, storePositionText } from '@gladespool/coordination';
+import { RetryReason, formatStorePosition } from '@gladespool/coordination';
 import type { HostMetrics, Logger } from '@gladespool/observability';
 import type { MetadataStore } from './metadata-store.js';
 import { StorePurpose } from './metadata-store.js';
@@ -118,7 +118,7 @@
     }
     this.noteReached();
     if (result.value.kind === 'compacted') {
-      log.info('store-history-gone', { position: storePositionText(view.position) });
+      log.info('store-history-gone', { position: formatStorePosition(view.position) });
       // A store that keeps no history at all must not be read without a pause.
       if (this.isHistoryGone) await pause(rules.retryMs);
       this.isHistoryGone = true;
@@ -141,7 +141,7 @@
   private noteReached(): void {
     if (!this.reachable) {
       this.options.log.info('store-regained', {
-        position: storePositionText(this.options.view.position),
+        position: formatStorePosition(this.options.view.position),
       });
     }
     this.reachable = true;
--- a/packages/gateway/src/control/store/store-view.ts
+++ b/packages/gateway/src/control/store/store-view.ts
@@ -2,14 +2,14 @@
  * The store's documents as this host has seen them, and their effect on the board.
  */
 import { setTimeout as pause } from 'node:timers/promises';
-import type { LapseRules, SeenDuty, StorePosition } from '@gladespool/coordination';
+import type { ExpiryRules, SeenPromotionLease, StorePosition } from '@gladespool/coordination';
 import {
-  dutyInDoubt,
+  placeholderPromotionLease,
   isLater,
   laterOf,
   STORE_START,
-  storePositionText,
-  withKnownBirth,
+  formatStorePosition,
+  withKnownStartTime,
 } from '@gladespool/coordination';
 import type { HostMetrics, Logger } from '@gladespool/observability';
 import { DocumentVerdict } from '@gladespool/observability';
@@ -56,7 +56,7 @@
   readonly log: Logger;
   /** Local time at which the view begins; what was removed shortly before is not known. */
   readonly startedAt: number;
-  readonly lapse: LapseRules;
+  readonly lapse: ExpiryRules;
 }
 
 /**
@@ -158,7 +158,7 @@
   }
 
   /** Who may call for promotions, for the decisions about it. */
-  get seenDuty(): SeenDuty | undefined {
+  get seenDuty(): SeenPromotionLease | undefined {
     return this.duty && { ...this.duty.duty, seenAt: this.duty.seenAt };
   }
 
@@ -414,8 +414,8 @@
     this.copies.put(document, item);
     this.log.info('store-copy-unused', {
       key,
-      position: storePositionText(position),
-      held: held && storePositionText(held),
+      position: formatStorePosition(position),
+      held: held && formatStorePosition(held),
     });
   }
 
@@ -424,7 +424,7 @@
     if (document.kind !== 'upstream') return document;
     const { entry } = document;
     const known = former?.kind === 'upstream' ? former.entry : this.publisher.lapsedEntry(entry.id);
-    return { ...document, entry: withKnownBirth(known, entry) };
+    return { ...document, entry: withKnownStartTime(known, entry) };
   }
 
   private take(
@@ -452,7 +452,7 @@
   }
 
   private doubtDuty(position: StorePosition, now: number): void {
-    const { seenAt, ...duty } = dutyInDoubt(this.seenDuty, position, now);
+    const { seenAt, ...duty } = placeholderPromotionLease(this.seenDuty, position, now);
     const renewal = this.duty?.duty.renewal ?? 0;
     this.duty = { duty: { ...duty, renewal }, seenAt };
   }
--- a/packages/gateway/src/entry/session.ts
+++ b/packages/gateway/src/entry/session.ts
@@ -13,10 +13,10 @@
 import {
   admit,
   hashKey,
-  keysCount,
+  areKeysValid,
   permittedRegions,
-  Ran,
-  ranOf,
+  ExecutionStatus,
+  executionStatusOf,
   RefusalReason,
 } from '@gladespool/coordination';
 import type { Result } from 'neverthrow';
@@ -230,7 +230,7 @@
       case 'open':
         return placeOf(route, undefined);
       case 'workspace':
-        if (!keysCount(board.catalogConfirmedAt, now, keys)) {
+        if (!areKeysValid(board.catalogConfirmedAt, now, keys)) {
           return err(RefusalReason.KeysUnconfirmed);
         }
         return placeOf(route, admission.workspace);
@@ -344,7 +344,7 @@
       return !NOT_RUN.has(outcome.fault);
     case 'refused':
       if (outcome.refusal.reason === RefusalReason.UpstreamLostReading) return true;
-      return ranOf(outcome.refusal) !== Ran.No;
+      return executionStatusOf(outcome.refusal) !== ExecutionStatus.No;
   }
 }
 
--- a/packages/gateway/src/forward/mark-exchange.ts
+++ b/packages/gateway/src/forward/mark-exchange.ts
@@ -56,7 +56,7 @@
     if (frame.kind !== FrameKind.MarkAsk) return;
     const { marks } = this.options.home(groupId(frame.group));
     const { newest } = marks;
-    const known = marks.epochOfMarks === frame.epoch ? newest : undefined;
+    const known = marks.currentEpoch === frame.epoch ? newest : undefined;
     const mark = known && { position: known.position, ageMs: performance.now() - known.sentAt };
     link.send({ kind: FrameKind.MarkReply, id: frame.id, ...(mark && { mark }) });
   }
--- a/packages/gateway/src/forward/routed-executor.ts
+++ b/packages/gateway/src/forward/routed-executor.ts
@@ -9,8 +9,8 @@
   Consistency,
   isNearUpstreams,
   isPermitted,
-  Ran,
-  ranOf,
+  ExecutionStatus,
+  executionStatusOf,
   RefusalReason,
   RetryReason,
 } from '@gladespool/coordination';
@@ -235,5 +235,5 @@
   if (outcome.kind !== 'refused') return false;
   const { reason } = outcome.refusal;
   if (FULL.has(reason) || isExclusion(reason)) return false;
-  return ranOf(outcome.refusal) === Ran.No;
+  return executionStatusOf(outcome.refusal) === ExecutionStatus.No;
 }
--- a/packages/gateway/src/gateway-rules.ts
+++ b/packages/gateway/src/gateway-rules.ts
@@ -4,7 +4,7 @@
 import type {
   FailoverRules,
   KeyRules,
-  LapseRules,
+  ExpiryRules,
   LimitTolerance,
   RetirementRules,
 } from '@gladespool/coordination';
@@ -26,7 +26,7 @@
   readonly sync: SyncRules;
   readonly failover: FailoverRules;
   readonly retirement: RetirementRules;
-  readonly lapse: LapseRules;
+  readonly lapse: ExpiryRules;
   readonly keys: KeyRules;
   /** By how much workspaces may overrun their limits. */
   readonly tolerance: LimitTolerance;
--- a/packages/gateway/src/home/await-authority.ts
+++ b/packages/gateway/src/home/await-authority.ts
@@ -2,7 +2,7 @@
  * Holds a statement while the proof of the primary is being renewed or another primary takes over,
  * if that is expected to be over in time.
  */
-import { isWorthHolding } from '@gladespool/coordination';
+import { shouldHoldStatement } from '@gladespool/coordination';
 import { BoardSection } from '../knowledge/board.js';
 import type { GroupHome } from './group-home.js';
 import type { Job } from './job.js';
@@ -24,7 +24,7 @@
     if (mayUsePrimary(home, time)) return true;
     if (home.missesPrimary(time) && home.hasDetour(time)) return false;
     const expectedAt = home.expectedPrimaryAt(time);
-    if (!isWorthHolding(expectedAt, job.arrivedAt, timeoutMs)) return false;
+    if (!shouldHoldStatement(expectedAt, job.arrivedAt, timeoutMs)) return false;
     await recordChange(home, REVIEW_MS);
   }
 }
--- a/packages/gateway/src/home/exchange.ts
+++ b/packages/gateway/src/home/exchange.ts
@@ -5,7 +5,7 @@
 import type { Position, PrimaryRecord } from '@gladespool/coordination';
 import {
   comparePositions,
-  positionText,
+  formatPosition,
   RefusalReason,
   UpstreamFault,
 } from '@gladespool/coordination';
@@ -186,8 +186,8 @@
     upstream: slot.entry.id,
     primary: isPrimary,
     epoch: record?.epoch,
-    after: after && positionText(after),
-    at: answer.kind === 'lost' ? undefined : answer.position && positionText(answer.position),
+    after: after && formatPosition(after),
+    at: answer.kind === 'lost' ? undefined : answer.position && formatPosition(answer.position),
     end: endOf(answer),
     ms: Math.round(now - sentAt),
     proof_age_ms: isPrimary ? Math.round(now - home.context.board.provenSince) : undefined,
--- a/packages/gateway/src/home/group-home.ts
+++ b/packages/gateway/src/home/group-home.ts
@@ -4,7 +4,7 @@
  */
 import type {
   AuthorityRules,
-  GapPace,
+  OutageEstimates,
   GladespoolError,
   GroupId,
   Position,
@@ -15,20 +15,20 @@
   UpstreamId,
 } from '@gladespool/coordination';
 import {
-  answerCounts,
+  isAnswerValid,
   chooseUpstream,
   connectionsOf,
-  expectedGapEnd,
+  expectedOutageEnd,
   hasAuthority,
-  hasGoneBack,
+  hasRegressed,
   mayBeSameUpstream,
-  MarkLog,
-  positionText,
+  WatermarkLog,
+  formatPosition,
   Priority,
   RecordPhase,
   refuse,
   RetryReason,
-  Reuse,
+  ConnectionAvailability,
 } from '@gladespool/coordination';
 import type { DepositionEvidence, HostMetrics, Logger } from '@gladespool/observability';
 import { BirthEvidence } from '@gladespool/observability';
@@ -67,7 +67,7 @@
   /** Statements waiting for a connection to one upstream at most. */
   readonly maxWaiting: number;
   /** Usual times of the parts of a gap without a primary, but for the promotion, which is observed. */
-  readonly gap: Omit<GapPace, 'promotionMs'>;
+  readonly gap: Omit<OutageEstimates, 'promotionMs'>;
 }
 
 /** What every home of a host shares. */
@@ -94,7 +94,7 @@
 
 /** Connections and knowledge of one group on one host. */
 export class GroupHome {
-  readonly marks = new MarkLog();
+  readonly marks = new WatermarkLog();
   /** Transactions that are open on upstreams of the group. */
   readonly transactions = new Set<WatchedTransaction>();
   private readonly slots = new Map<UpstreamId, UpstreamSlot>();
@@ -149,15 +149,15 @@
   expectedPrimaryAt(now: number): number {
     const { board, rules, pace } = this.context;
     const { record } = this;
-    const { proofLifeMs } = rules.authority;
-    const lapsedAt = Math.max(board.provenSince + proofLifeMs, pace.startedAt);
+    const { proofTtlMs } = rules.authority;
+    const lapsedAt = Math.max(board.provenSince + proofTtlMs, pace.startedAt);
     const view = {
-      unprovenSince: board.isIsolated(now, rules.authority) ? lapsedAt : undefined,
+      unprovedSince: board.isIsolated(now, rules.authority) ? lapsedAt : undefined,
       claimedAt: pace.claimedAt(this.group),
       failingSince: this.deposedSince ?? (record && this.slot(record.primary)?.health.failingSince),
     };
     const { promotionMs } = pace;
-    return expectedGapEnd(view, { promotionMs, ...rules.gap }, now);
+    return expectedOutageEnd(view, { promotionMs, ...rules.gap }, now);
   }
 
   /** Refusal of work that needs the primary while there is none to use, with when to come back. */
@@ -182,7 +182,7 @@
     const { board, rules } = this.context;
     if (this.lead.deniedSince(sentUnder) !== undefined) return false;
     const view = board.authority(this.group);
-    return answerCounts(sentUnder, answeredBy, view, now, rules.authority);
+    return isAnswerValid(sentUnder, answeredBy, view, now, rules.authority);
   }
 
   /** Notes where the primary stood by an answer to a question sent at `sentAt`, if the answer counts. */
@@ -200,7 +200,7 @@
 
   /** Furthest position that the primary of `record` has told under it; undefined while it has told none. */
   knownPosition(record: PrimaryRecord | undefined): Position | undefined {
-    return record?.epoch === this.marks.epochOfMarks ? this.marks.highest : undefined;
+    return record?.epoch === this.marks.currentEpoch ? this.marks.highest : undefined;
   }
 
   /**
@@ -216,15 +216,15 @@
 
   /** Whether an upstream has told a position behind `floor`, so that it has lost its log; if so, counts and logs it. */
   noteLostLog(id: UpstreamId, floor: Position | undefined, told: Position | undefined): boolean {
-    if (!hasGoneBack(floor, told)) return false;
+    if (!hasRegressed(floor, told)) return false;
     const { metrics, log } = this.context;
     metrics.upstreamsBornAnew.inc({ evidence: BirthEvidence.Position });
     log.warn('primary-went-back', {
       group: this.group,
       upstream: id,
       epoch: this.record?.epoch,
-      floor: floor && positionText(floor),
-      told: told && positionText(told),
+      floor: floor && formatPosition(floor),
+      told: told && formatPosition(told),
     });
     return true;
   }
@@ -261,7 +261,7 @@
         distance: board.topology.distance(board.az, entry.az),
         inFlight: slot?.load ?? 0,
         meanMs: slot?.health.meanMs ?? 0,
-        reuse: slot?.reuseFor(job.workspace) ?? Reuse.Room,
+        availability: slot?.reuseFor(job.workspace) ?? ConnectionAvailability.CanOpen,
         avoidUntil: slot?.health.avoidUntil ?? now,
       };
     });
--- a/packages/gateway/src/home/read-flow.ts
+++ b/packages/gateway/src/home/read-flow.ts
@@ -3,7 +3,12 @@
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { RefusalReason as Reason, UpstreamId } from '@gladespool/coordination';
-import { positionText, RefusalReason, RetryReason, UpstreamFault } from '@gladespool/coordination';
+import {
+  formatPosition,
+  RefusalReason,
+  RetryReason,
+  UpstreamFault,
+} from '@gladespool/coordination';
 import type { Outcome } from '../model/outcome.js';
 import { refused } from '../model/outcome.js';
 import type { UpstreamAnswer } from '../model/upstream-wire.js';
@@ -150,7 +155,7 @@
     group: home.group,
     upstream: target.entry.id,
     reason,
-    after: target.after && positionText(target.after),
+    after: target.after && formatPosition(target.after),
   });
 }
 
--- a/packages/gateway/src/home/read-plan.ts
+++ b/packages/gateway/src/home/read-plan.ts
@@ -69,8 +69,8 @@
   const { marks } = home;
   const mark = marks.oldestSince(job.beganAt - maxStalenessMs + MARK_MARGIN_MS);
   if (mark === undefined) return undefined;
-  if (job.own !== undefined && job.own.epoch > marks.epochOfMarks) return undefined;
-  return readFloor(mark, marks.epochOfMarks, job.own);
+  if (job.own !== undefined && job.own.epoch > marks.currentEpoch) return undefined;
+  return readFloor(mark, marks.currentEpoch, job.own);
 }
 
 /** The primary, if it is proved; for primary reads and whatever may write. */
--- a/packages/gateway/src/home/upstream-exclusion.ts
+++ b/packages/gateway/src/home/upstream-exclusion.ts
@@ -11,7 +11,7 @@
   refuse,
   RefusalReason,
   retryAfterMsOf,
-  takesNewWork,
+  acceptsNewWork,
 } from '@gladespool/coordination';
 import type { UpstreamEntry } from '../model/catalog.js';
 import type { GroupHome } from './group-home.js';
@@ -32,14 +32,14 @@
   const stage = stageOf(home, entry, now);
   if (stage === EvacuationStage.None) return undefined;
   const isPrimary = home.record?.primary === entry.id;
-  return takesNewWork(stage, isPrimary && home.context.board.hasUpstreamInUse(home.group))
+  return acceptsNewWork(stage, isPrimary && home.context.board.hasUpstreamInUse(home.group))
     ? undefined
     : RefusalReason.ZoneEvacuated;
 }
 
 /** Whether open transactions on an upstream may go on at `now`. */
 export function mayGoOn(home: GroupHome, entry: UpstreamEntry, now: number): boolean {
-  return stageOf(home, entry, now) !== EvacuationStage.Over;
+  return stageOf(home, entry, now) !== EvacuationStage.Evacuated;
 }
 
 /** Why no upstream of the group may get a job at `now`; undefined when one may, or there is none. */
--- a/packages/gateway/src/home/upstream-slot.ts
+++ b/packages/gateway/src/home/upstream-slot.ts
@@ -9,7 +9,7 @@
   RefusalReason,
   WorkspaceId,
 } from '@gladespool/coordination';
-import { gladespoolError, Reuse, Step } from '@gladespool/coordination';
+import { gladespoolError, ConnectionAvailability, Step } from '@gladespool/coordination';
 import type { Lease, PoolLimits } from '@gladespool/pool';
 import { ConnectionPool } from '@gladespool/pool';
 import type { Result } from 'neverthrow';
@@ -73,8 +73,8 @@
   }
 
   /** What is there for a statement of a workspace; all is where connections serve everybody. */
-  reuseFor(workspace: WorkspaceId | undefined): Reuse {
-    return workspace === undefined ? Reuse.Ready : this.pool.reuseFor(workspace);
+  reuseFor(workspace: WorkspaceId | undefined): ConnectionAvailability {
+    return workspace === undefined ? ConnectionAvailability.Ready : this.pool.reuseFor(workspace);
   }
 
   /** Lends a connection of a workspace, waiting at most `timeoutMs`. */
--- a/packages/gateway/src/knowledge/board.ts
+++ b/packages/gateway/src/knowledge/board.ts
@@ -12,7 +12,7 @@
   Topology,
   UpstreamId,
 } from '@gladespool/coordination';
-import { isIsolated, isNewerRecord, ONE_REGION } from '@gladespool/coordination';
+import { isIsolated, isNewerRecord, SINGLE_REGION } from '@gladespool/coordination';
 import type { Catalog, Route, UpstreamEntry } from '../model/catalog.js';
 
 /** A host as it registered itself in the metadata store. */
@@ -69,7 +69,7 @@
   constructor(
     readonly host: HostId,
     readonly az: AzId,
-    readonly topology: Topology = ONE_REGION,
+    readonly topology: Topology = SINGLE_REGION,
   ) {}
 
   /** Calls `listener` at each change of a section; the result stops that. */
@@ -164,8 +164,8 @@
   /** What decides whether the primary of a group may be used. */
   authority(group: GroupId): AuthorityView {
     const record = this.records.get(group);
-    const primaryBorn = record && this.upstreams.get(record.primary)?.born;
-    return { record, provedAt: this.provedAt, primaryBorn };
+    const primaryStartTime = record && this.upstreams.get(record.primary)?.born;
+    return { record, provedAt: this.provedAt, primaryStartTime };
   }
 
   /** How statements for a database are served; undefined when it is not configured. */
--- a/packages/gateway/src/knowledge/home-directory.ts
+++ b/packages/gateway/src/knowledge/home-directory.ts
@@ -7,11 +7,11 @@
   GroupId,
   HomePlan,
   HostId,
-  UpstreamRoom,
+  UpstreamCapacity,
   WorkspaceId,
 } from '@gladespool/coordination';
 import {
-  boundConnections,
+  dedicatedConnections,
   homesNear,
   homesOfWorkspace,
   hostsByZone,
@@ -61,15 +61,15 @@
     const room = this.room(group);
     const even = planHomes(group, this.zones, room);
     const upstreamZones = new Set(this.board.upstreamsOf(group).map((entry) => entry.az));
-    const { isBound } = even;
-    if (upstreamZones.size === 0 || !(isBound || topology.isSpread)) return even;
-    const usable = isBound ? boundConnections(room) : usableConnections(room);
-    const farUsable = isBound ? 0 : spareConnections(room);
-    const near = { group, upstreamZones, usable, farUsable, isBound };
+    const { isDedicated } = even;
+    if (upstreamZones.size === 0 || !(isDedicated || topology.isMultiRegion)) return even;
+    const usable = isDedicated ? dedicatedConnections(room) : usableConnections(room);
+    const farUsable = isDedicated ? 0 : spareConnections(room);
+    const near = { group, upstreamZones, usable, farUsable, isDedicated };
     return planNearHomes(near, this.zones, topology);
   }
 
-  private room(group: GroupId): UpstreamRoom {
+  private room(group: GroupId): UpstreamCapacity {
     const connections = this.board.catalog?.groups.get(group)?.connectionsPerUpstream ?? 1;
     const slots = this.board.upstreamsOf(group).map((entry) => entry.slots);
     const workspaces = this.board.catalog?.workspaces.size ?? 0;
@@ -103,7 +103,7 @@
     }
     if (this.isHome(group)) return [];
     const near = this.homesFor(group, this.board.host);
-    if (workspace === undefined || !plan.isBound) return near;
+    if (workspace === undefined || !plan.isDedicated) return near;
     const all = homesOfWorkspace(plan, group, workspace);
     return [...near, ...all.filter((host) => !near.includes(host))];
   }
--- a/packages/gateway/src/knowledge/promotion-pace.ts
+++ b/packages/gateway/src/knowledge/promotion-pace.ts
@@ -3,7 +3,7 @@
  * next primary serves.
  */
 import type { GroupId } from '@gladespool/coordination';
-import { learnPromotionMs, RecordPhase } from '@gladespool/coordination';
+import { updatedPromotionMs, RecordPhase } from '@gladespool/coordination';
 import type { GatewayBoard } from './board.js';
 import { BoardSection } from './board.js';
 
@@ -44,7 +44,7 @@
       } else if (claim !== undefined) {
         this.claims.delete(group);
         if (claim.epoch === epoch) {
-          this.promotionMs = learnPromotionMs(this.promotionMs, now - claim.at);
+          this.promotionMs = updatedPromotionMs(this.promotionMs, now - claim.at);
         }
       }
     }
--- a/packages/gateway/src/knowledge/relay-order.ts
+++ b/packages/gateway/src/knowledge/relay-order.ts
@@ -7,7 +7,7 @@
  * first hosts of that region's other zones ask it in turn. The reader stands in the region nearest to the store.
  */
 import type { AzId, HostId } from '@gladespool/coordination';
-import { rankCandidates, rankZones, zoneToAsk } from '@gladespool/coordination';
+import { rankCandidates, rankZones, parentZone } from '@gladespool/coordination';
 import type { GatewayBoard, HostEntry } from './board.js';
 
 /** Part of the zone's widest link from which a host counts as one of those with a wide link. */
@@ -53,7 +53,7 @@
     if (!this.board.hosts.has(host)) return undefined;
     const [first] = this.hosts;
     if (first?.host !== host) return first;
-    const asked = zoneToAsk(this.board.az, this.zones, this.board.topology);
+    const asked = parentZone(this.board.az, this.zones, this.board.topology);
     return asked === undefined ? undefined : this.hostsOf(asked)[0];
   }
 
--- a/packages/gateway/src/limits/allowance-keeper.ts
+++ b/packages/gateway/src/limits/allowance-keeper.ts
@@ -11,7 +11,7 @@
   WorkspaceId,
   WorkspaceLimit,
 } from '@gladespool/coordination';
-import { begunAllowance, grantOperations, workspaceId } from '@gladespool/coordination';
+import { initialAllowance, grantOperations, workspaceId } from '@gladespool/coordination';
 import type { Logger } from '@gladespool/observability';
 import type { PeerHandler, PeerLink } from '@gladespool/peers';
 import type { Frame } from '@gladespool/protocol';
@@ -89,8 +89,8 @@
    * is forgotten.
    */
   noteProof(now: number): void {
-    const { proofLifeMs } = this.options.authority;
-    if (now - this.provedAt >= proofLifeMs) {
+    const { proofTtlMs } = this.options.authority;
+    if (now - this.provedAt >= proofTtlMs) {
       this.kept.clear();
       this.provenSince = now;
     }
@@ -128,11 +128,11 @@
         return this.held(this.kept, workspace, () => this.begin(limit, since, now));
       }
       case Role.StandIn: {
-        const { proofLifeMs, marginMs } = this.options.authority;
+        const { proofTtlMs, marginMs } = this.options.authority;
         const held = this.stoodIn.get(workspace);
         const isOver = held !== undefined && now - held.lastAskedAt > STAND_IN_REST_MS;
         if (isOver) this.stoodIn.delete(workspace);
-        const from = now + proofLifeMs + marginMs;
+        const from = now + proofTtlMs + marginMs;
         return this.held(this.stoodIn, workspace, () => this.begin(limit, from, now));
       }
       case Role.None:
@@ -147,7 +147,7 @@
   }
 
   private begin(limit: WorkspaceLimit, since: number, now: number): Kept {
-    const allowance = begunAllowance(limit, this.options.tolerance, since);
+    const allowance = initialAllowance(limit, this.options.tolerance, since);
     return { allowance, since, lastAskedAt: now, isOpen: true };
   }
 
--- a/packages/gateway/src/limits/operation-limits.ts
+++ b/packages/gateway/src/limits/operation-limits.ts
@@ -9,7 +9,7 @@
   Workspace,
   WorkspaceId,
 } from '@gladespool/coordination';
-import { DemandShare, refuse, RefusalReason } from '@gladespool/coordination';
+import { LocalLimiter, refuse, RefusalReason } from '@gladespool/coordination';
 import type { HostMetrics } from '@gladespool/observability';
 import { FrameKind } from '@gladespool/protocol';
 import type { GatewayBoard } from '../knowledge/board.js';
@@ -59,7 +59,7 @@
 
 /** One workspace as this host sees it. */
 interface Account {
-  readonly share: DemandShare;
+  readonly share: LocalLimiter;
   /** Operations that wait for the keeper's word. */
   waiting: Settle[];
   asking: boolean;
@@ -100,7 +100,7 @@
     const held = this.accounts.get(workspace);
     if (held !== undefined) return held;
     const account: Account = {
-      share: new DemandShare(this.options.tolerance.windowS * MS_PER_SECOND),
+      share: new LocalLimiter(this.options.tolerance.windowS * MS_PER_SECOND),
       waiting: [],
       asking: false,
       refusedUntil: Number.NEGATIVE_INFINITY,
@@ -170,8 +170,8 @@
     const { metrics, board } = this.options;
     const [host] = this.options.directory.keepersOf(workspace);
     metrics.limitsAlone.inc();
-    if (account.share.hasRoom(now)) {
-      account.share.note(now);
+    if (account.share.canAdmit(now)) {
+      account.share.recordAdmission(now);
       return undefined;
     }
     const detail = `workspace=${workspace} keeper=${host ?? '-'} unreachable from ${board.host}`;
@@ -195,7 +195,7 @@
       settle(overLimit(workspace, retryAfterMs));
       continue;
     }
-    account.share.note(now);
+    account.share.recordAdmission(now);
     settle(undefined);
   }
 }
--- a/packages/gateway/tests/acting-hosts.steps.ts
+++ b/packages/gateway/tests/acting-hosts.steps.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import type { AzId, HostId, SeenDuty } from '@gladespool/coordination';
+import type { AzId, HostId, SeenPromotionLease } from '@gladespool/coordination';
 import {
   azId,
   DEFAULT_FAILOVER,
   groupId,
   hostId,
-  ONE_REGION,
+  SINGLE_REGION,
   regionId,
   Topology,
   upstreamId,
@@ -19,7 +19,7 @@
   topology: Topology;
   entries: readonly HostEntry[];
   upstreams: readonly AzId[];
-  duty: SeenDuty | undefined;
+  duty: SeenPromotionLease | undefined;
   /** The board and the order of one host, which lives on while things change. */
   board: GatewayBoard;
   acting: ActingHosts;
@@ -48,7 +48,7 @@
 
 function actingOn(world: ActingWorld, board: GatewayBoard): ActingHosts {
   const view = {
-    get seenDuty(): SeenDuty | undefined {
+    get seenDuty(): SeenPromotionLease | undefined {
       return world.duty;
     },
   };
@@ -112,7 +112,7 @@
 Then('they act in the same order as where no regions are told', function (this: ActingWorld) {
   const [self] = this.entries;
   assert.ok(self);
-  const untold = actingOn(this, boardOf(this, self, ONE_REGION));
+  const untold = actingOn(this, boardOf(this, self, SINGLE_REGION));
   assert.deepEqual(this.acting.order(GROUP, NOW), untold.order(GROUP, NOW));
 });
 
--- a/packages/gateway/tests/evacuation.steps.ts
+++ b/packages/gateway/tests/evacuation.steps.ts
@@ -7,9 +7,9 @@
   azId,
   Consistency,
   hostId,
-  lapseRules,
-  Ran,
-  ranOf,
+  expiryRules,
+  ExecutionStatus,
+  executionStatusOf,
   RecordPhase,
   RefusalReason as Reason,
   retryAfterMsOf,
@@ -65,7 +65,7 @@
       metrics: new HostMetrics(),
       log: createLogger('test'),
       startedAt: 0,
-      lapse: lapseRules(1000),
+      lapse: expiryRules(1000),
     });
     if (current !== 'never') this.view.noteCurrent(Number(current));
   },
@@ -384,7 +384,7 @@
   for (;;) {
     const outcome = await deployment.run(each, 'WRITE x');
     if (outcome.kind === 'refused' && outcome.refusal.reason === reason) {
-      assert.equal(ranOf(outcome.refusal), Ran.No);
+      assert.equal(executionStatusOf(outcome.refusal), ExecutionStatus.No);
       assert.ok(retryAfterMsOf(outcome.refusal) > 0);
       return;
     }
--- a/packages/gateway/tests/fakes/fake-deployment.ts
+++ b/packages/gateway/tests/fakes/fake-deployment.ts
@@ -15,12 +15,12 @@
   Consistency,
   DEFAULT_AUTHORITY,
   DEFAULT_FAILOVER,
-  DEFAULT_GAP,
+  DEFAULT_OUTAGE_ESTIMATES,
   groupId,
   hashKey,
   hostId,
   NO_TOLERANCE,
-  ONE_REGION,
+  SINGLE_REGION,
   upstreamId,
   workspaceId,
 } from '@gladespool/coordination';
@@ -70,9 +70,9 @@
     authority: DEFAULT_AUTHORITY,
     connectTimeoutMs: 200,
     maxWaiting: 16,
-    gap: DEFAULT_GAP,
+    gap: DEFAULT_OUTAGE_ESTIMATES,
   },
-  keys: { unconfirmedLifeMs: undefined },
+  keys: { unconfirmedTtlMs: undefined },
   tolerance: NO_TOLERANCE,
   warmupTolerance: { overrun: 1, slack: 0 },
   evacuationMs: 5000,
@@ -115,7 +115,7 @@
   evacuationMs = 5000;
 
   /** Where the zones lie. */
-  topology: Topology = ONE_REGION;
+  topology: Topology = SINGLE_REGION;
 
   /** Regions that the data of the route may not leave; undefined where it may be anywhere. */
   regions: readonly RegionId[] | undefined;
--- a/packages/gateway/tests/fakes/fake-home.ts
+++ b/packages/gateway/tests/fakes/fake-home.ts
@@ -1,7 +1,11 @@
 /**
  * What the homes of one host work with, made around a board.
  */
-import { DEFAULT_AUTHORITY, DEFAULT_GAP, SeededRandom } from '@gladespool/coordination';
+import {
+  DEFAULT_AUTHORITY,
+  DEFAULT_OUTAGE_ESTIMATES,
+  SeededRandom,
+} from '@gladespool/coordination';
 import { createLogger, HostMetrics } from '@gladespool/observability';
 import type { GatewayBoard, HomeContext, UpstreamDriver } from '../../src/index.js';
 import { HomeDirectory } from '../../src/knowledge/home-directory.js';
@@ -21,7 +25,7 @@
       authority: DEFAULT_AUTHORITY,
       connectTimeoutMs: 5,
       maxWaiting: 16,
-      gap: DEFAULT_GAP,
+      gap: DEFAULT_OUTAGE_ESTIMATES,
     },
     holds: new WriteHolds(board),
     pace: new PromotionPace(board, 0),
--- a/packages/gateway/tests/first-proof.steps.ts
+++ b/packages/gateway/tests/first-proof.steps.ts
@@ -1,7 +1,14 @@
 import assert from 'node:assert/strict';
 import { setTimeout as pause } from 'node:timers/promises';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { azId, hostId, lapseRules, ONE_REGION, regionId, Topology } from '@gladespool/coordination';
+import {
+  azId,
+  hostId,
+  expiryRules,
+  SINGLE_REGION,
+  regionId,
+  Topology,
+} from '@gladespool/coordination';
 import { createLogger, HostMetrics } from '@gladespool/observability';
 import { GatewayBoard } from '../src/knowledge/board.js';
 import { DEFAULT_PROOFS, ProofKeeper } from '../src/control/proofs/proof-keeper.js';
@@ -42,7 +49,7 @@
   ]),
 );
 
-function createHost(world: ProofWorld, topology = ONE_REGION): void {
+function createHost(world: ProofWorld, topology = SINGLE_REGION): void {
   const self = SELF;
   const log = createLogger('test');
   const board = new GatewayBoard(self.host, self.az, topology);
@@ -54,7 +61,7 @@
     metrics,
     log,
     startedAt: performance.now(),
-    lapse: lapseRules(SERVES_ON_MS),
+    lapse: expiryRules(SERVES_ON_MS),
   });
   const follower = new StoreFollower({ store, view, metrics, log, rules: DEFAULT_FOLLOWER });
   const registrar = new Registrar(self, board, store, log);
--- a/packages/gateway/tests/guarded-store.steps.ts
+++ b/packages/gateway/tests/guarded-store.steps.ts
@@ -7,7 +7,7 @@
   DEFAULT_AUTHORITY,
   groupId,
   hostId,
-  lapseRules,
+  expiryRules,
   RecordPhase,
   upstreamId,
 } from '@gladespool/coordination';
@@ -141,7 +141,7 @@
     metrics,
     log,
     startedAt: performance.now(),
-    lapse: lapseRules(1000),
+    lapse: expiryRules(1000),
   });
   const store = new GuardedStore(new FakeStoreClient(world.store), view, log);
   const order = new RelayOrder(board);
--- a/packages/gateway/tests/host-round.steps.ts
+++ b/packages/gateway/tests/host-round.steps.ts
@@ -6,7 +6,7 @@
   Distance,
   gladespoolError,
   hostId,
-  ONE_REGION,
+  SINGLE_REGION,
   regionId,
   Step,
   Topology,
@@ -124,7 +124,7 @@
 Given(
   /^a fleet of (\d+) zones with (\d+) hosts each, of which (.*) do not answer$/,
   function (this: RoundWorld, zones: string, hosts: string, words: string) {
-    this.topology = ONE_REGION;
+    this.topology = SINGLE_REGION;
     createFleet(this, Number(zones), Number(hosts), words);
   },
 );
--- a/packages/gateway/tests/relay-order.steps.ts
+++ b/packages/gateway/tests/relay-order.steps.ts
@@ -4,7 +4,7 @@
 import {
   azId,
   hostId,
-  ONE_REGION,
+  SINGLE_REGION,
   regionId,
   SeededRandom,
   Topology,
@@ -40,7 +40,7 @@
 
 /** The order as a host sees it. */
 function orderOn(world: OrderWorld, entry: HostEntry): RelayOrder {
-  const board = new GatewayBoard(entry.host, entry.az, world.topology ?? ONE_REGION);
+  const board = new GatewayBoard(entry.host, entry.az, world.topology ?? SINGLE_REGION);
   board.putHosts(world.listed);
   return new RelayOrder(board);
 }
--- a/packages/gateway/tests/session.steps.ts
+++ b/packages/gateway/tests/session.steps.ts
@@ -40,7 +40,7 @@
 const COMMITTED = { epoch: 1, position: { term: 1, offset: 9 } };
 const IDLE_MS = 20;
 const KEY = 'k1';
-const KEYS: KeyRules = { unconfirmedLifeMs: undefined };
+const KEYS: KeyRules = { unconfirmedTtlMs: undefined };
 
 /** Executor that answers everything with one row, and refuses works that begin with "!". */
 class FakeExecutor implements Executor, OpenTransaction {
@@ -352,7 +352,7 @@
 Given(
   'keys end {int} ms after a configuration was the newest, and one that was so {int} ms ago',
   function (this: SessionWorld, lifeMs: number, agoMs: number) {
-    this.keyRules = { unconfirmedLifeMs: lifeMs === 0 ? undefined : lifeMs };
+    this.keyRules = { unconfirmedTtlMs: lifeMs === 0 ? undefined : lifeMs };
     this.confirmedAt = performance.now() - agoMs;
   },
 );
--- a/packages/gateway/tests/store-histories.steps.ts
+++ b/packages/gateway/tests/store-histories.steps.ts
@@ -5,7 +5,7 @@
   groupId,
   hostId,
   isLater,
-  lapseRules,
+  expiryRules,
   recordRank,
   RecordPhase,
   upstreamId,
@@ -50,7 +50,7 @@
       metrics,
       log: createLogger('test'),
       startedAt: 0,
-      lapse: lapseRules(1000),
+      lapse: expiryRules(1000),
     });
   }
 
--- a/packages/gateway/tests/store-view.steps.ts
+++ b/packages/gateway/tests/store-view.steps.ts
@@ -4,7 +4,7 @@
   azId,
   groupId,
   hostId,
-  lapseRules,
+  expiryRules,
   RecordPhase,
   STORE_START,
   upstreamId,
@@ -117,7 +117,7 @@
     metrics,
     log: createLogger('test'),
     startedAt: STARTED_AT,
-    lapse: lapseRules(SERVES_ON_MS),
+    lapse: expiryRules(SERVES_ON_MS),
   });
 }
 
--- a/packages/gateway/tests/unreadable-documents.steps.ts
+++ b/packages/gateway/tests/unreadable-documents.steps.ts
@@ -162,7 +162,7 @@
     while (deployment.group.promotions.length === 0) await pause(POLL_MS);
     const [first] = deployment.group.promotions;
     // What the claim takes to be seen here is covered by the margin of the wait.
-    assert.ok(first !== undefined && first.at - claimedAt >= DEFAULT_AUTHORITY.proofLifeMs);
+    assert.ok(first !== undefined && first.at - claimedAt >= DEFAULT_AUTHORITY.proofTtlMs);
   },
 );
 
--- a/packages/measure/src/authority-model/authority-model.ts
+++ b/packages/measure/src/authority-model/authority-model.ts
@@ -4,14 +4,14 @@
  */
 import type { AuthorityView, Position, PrimaryRecord } from '@gladespool/coordination';
 import {
-  answerCounts,
+  isAnswerValid,
   hasAuthority,
-  hasGoneBack,
-  isGivenUp,
+  hasRegressed,
+  acknowledgesClaim,
   isMajority,
   isNewerRecord,
-  renewalCounts,
-  silentHostFreeAt,
+  isRenewalValid,
+  proofsExpiredAt,
 } from '@gladespool/coordination';
 import type { Model, ModelStep } from '../model/breadth-first.js';
 import type { AuthorityState, ModelHost, ModelUpstream, ModelWrite } from './authority-state.js';
@@ -93,10 +93,10 @@
     return [{ name: `${index} writes`, next: withHost(state, index, { writing: sent }) }];
   }
   const told = positionOf(state.primary);
-  const wentBack = variant !== Variant.PositionIgnored && hasGoneBack(writing.floor, told);
+  const wentBack = variant !== Variant.PositionIgnored && hasRegressed(writing.floor, told);
   const holds =
     variant === Variant.NoProofAfterAnswer ||
-    answerCounts(writing.record, FORMER.primary, view, state.now, MODEL_RULES);
+    isAnswerValid(writing.record, FORMER.primary, view, state.now, MODEL_RULES);
   const counts = holds && !wentBack;
   const late = counts && writing.record.epoch === FORMER.epoch && state.change?.called === true;
   const lost = counts && hadLostLog(state.primary, writing, host);
@@ -109,9 +109,12 @@
   return [{ name: `${index} is answered`, next }];
 }
 
-function viewOf({ record, provedAt, primaryBorn }: ModelHost, variant: Variant): AuthorityView {
+function viewOf(
+  { record, provedAt, primaryStartTime }: ModelHost,
+  variant: Variant,
+): AuthorityView {
   if (variant === Variant.BirthIgnored) return { record, provedAt };
-  return { record, provedAt, primaryBorn };
+  return { record, provedAt, primaryStartTime };
 }
 
 function positionOf({ offset }: ModelUpstream): Position {
@@ -122,7 +125,7 @@
 function hadLostLog(primary: ModelUpstream, writing: ModelWrite, host: ModelHost): boolean {
   if (primary.born === FORMER.born) return false;
   const floor = writing.floor?.offset ?? 0;
-  return host.primaryBorn === primary.born || floor > primary.offset;
+  return host.primaryStartTime === primary.born || floor > primary.offset;
 }
 
 /** Starts the primary anew, lets it write its entry, or lets a host read that. */
@@ -136,8 +139,8 @@
     const told = { ...primary, told: primary.born };
     return [{ name: 'upstream writes its entry', next: { ...state, primary: told } }];
   }
-  if (hostAt(state, index).primaryBorn === primary.told) return [];
-  const read = withHost(state, index, { primaryBorn: primary.told });
+  if (hostAt(state, index).primaryStartTime === primary.told) return [];
+  const read = withHost(state, index, { primaryStartTime: primary.told });
   return [{ name: `${index} reads the entry`, next: read }];
 }
 
@@ -188,7 +191,7 @@
   const taken = take(host, answer.record);
   const answered = [...round.answered, from].sort();
   const renewal = { listed: state.hosts.length, answered: answered.length, listReadAt: 0 };
-  if (renewalCounts(renewal, state.now, MODEL_RULES)) {
+  if (isRenewalValid(renewal, state.now, MODEL_RULES)) {
     return { ...taken, provedAt: Math.max(host.provedAt, round.sentAt), round: undefined };
   }
   const underWay = round.underWay.filter((late) => late.from !== from);
@@ -223,7 +226,7 @@
   const { change } = state;
   const host = hostAt(state, index);
   const { record } = take(host, CLAIM);
-  if (change === undefined || !isGivenUp(record, CLAIM)) return { name, next: state };
+  if (change === undefined || !acknowledgesClaim(record, CLAIM)) return { name, next: state };
   const acknowledged = [...change.acknowledged, index].sort();
   const majority = isMajority(acknowledged.length, state.hosts.length);
   const majorityAt = change.majorityAt ?? (majority ? state.now : undefined);
@@ -240,10 +243,10 @@
   if (silent.length === 0) return true;
   if (variant === Variant.AbsenceIsProof && counted.length === 0) return true;
   if (variant === Variant.WaitFromClaim)
-    return now >= silentHostFreeAt(change.claimedAt, MODEL_RULES);
+    return now >= proofsExpiredAt(change.claimedAt, MODEL_RULES);
   if (change.majorityAt === undefined) return false;
   if (variant === Variant.NoWait) return true;
-  return now >= silentHostFreeAt(change.majorityAt, MODEL_RULES);
+  return now >= proofsExpiredAt(change.majorityAt, MODEL_RULES);
 }
 
 function take(host: ModelHost, record: PrimaryRecord): ModelHost {
--- a/packages/measure/src/authority-model/authority-state.ts
+++ b/packages/measure/src/authority-model/authority-state.ts
@@ -3,7 +3,7 @@
  * ages, a store that may answer late or not at all, and one host that replaces the primary. Whether a
  * message arrives, and when, is left open; time runs in whole ticks.
  */
-import type { AuthorityRules, Birth, Position, PrimaryRecord } from '@gladespool/coordination';
+import type { AuthorityRules, StartTime, Position, PrimaryRecord } from '@gladespool/coordination';
 import { groupId, hostId, RecordPhase, upstreamId } from '@gladespool/coordination';
 
 /** An answer under way, as it was when the other side gave it. */
@@ -50,7 +50,7 @@
   /** The write that has not been answered yet. */
   readonly writing: ModelWrite | undefined;
   /** Birth that the primary's entry tells, as this host has read it. */
-  readonly primaryBorn: Birth;
+  readonly primaryStartTime: StartTime;
   /** Furthest position that an answer of the primary has told. */
   readonly floor: Position | undefined;
   /** Whether the host's entry is still in the store. */
@@ -81,7 +81,7 @@
 }
 
 /** Times of the model, in ticks: a proof lives two. */
-export const MODEL_RULES: AuthorityRules = { proofLifeMs: 2, marginMs: 0, listLifeMs: 100 };
+export const MODEL_RULES: AuthorityRules = { proofTtlMs: 2, marginMs: 0, hostListTtlMs: 100 };
 
 /** Birth of the primary that the first record names. */
 const FIRST_BIRTH = 1;
@@ -110,7 +110,7 @@
     read: undefined,
     round: undefined,
     writing: undefined,
-    primaryBorn: FIRST_BIRTH,
+    primaryStartTime: FIRST_BIRTH,
     floor: knowsPosition ? { term: FORMER.epoch, offset: FIRST_OFFSET } : undefined,
     listed: true,
   };
--- a/packages/measure/src/commands/replicas-command.ts
+++ b/packages/measure/src/commands/replicas-command.ts
@@ -19,13 +19,13 @@
   constructor(private readonly stickyMs: number) {}
 
   choose(input: ReadInput, random: RandomSource): ReadChoice {
-    const { offset } = input.need.floor;
+    const { offset } = input.requirements.floor;
     const now = performance.now();
     const since = this.wroteAt.get(offset) ?? now;
     this.wroteAt.set(offset, since);
     if (offset > 0 && now - since < this.stickyMs) return new PrimaryRouting().choose(input);
-    const need = { ...input.need, floor: { term: 0, offset: 0 } };
-    return new CoveringReplicaRouting().choose({ ...input, need }, random);
+    const requirements = { ...input.requirements, floor: { term: 0, offset: 0 } };
+    return new CoveringReplicaRouting().choose({ ...input, requirements }, random);
   }
 }
 
--- a/packages/measure/src/era-model/era-model.ts
+++ b/packages/measure/src/era-model/era-model.ts
@@ -1,19 +1,19 @@
 /**
  * The steps of the model of a store that loses its last changes, taken by the library's own decisions.
  */
-import type { FormerHosts, PrimaryRecord } from '@gladespool/coordination';
+import type { PreviousEraHosts, PrimaryRecord } from '@gladespool/coordination';
 import {
   claimedRecord,
   hasAuthority,
   hostId,
-  isGivenUp,
+  acknowledgesClaim,
   isMajority,
   isNewerRecord,
   mayOpenEra,
   namedRecord,
-  openingFence,
+  initialFence,
   recordRank,
-  silentHostFreeAt,
+  proofsExpiredAt,
   upstreamId,
 } from '@gladespool/coordination';
 import type { Model, ModelStep } from '../model/breadth-first.js';
@@ -44,7 +44,7 @@
 /** Hosts that read the store; the changer hears of it by its own changes. */
 const READERS: readonly number[] = [OPENER, 2];
 /** Age from which nothing depends on how old something is, ticks. */
-const OLD = ERA_RULES.proofLifeMs + 1;
+const OLD = ERA_RULES.proofTtlMs + 1;
 /** Changes that the store loses at most. */
 const MAX_LOST = 3;
 const SUCCESSOR = {
@@ -192,7 +192,7 @@
   const { change } = state;
   const claim = claimedRecord(FORMER, hostId('0'), undefined);
   const host = take(hostAt(state, index), claim, 0);
-  if (change === undefined || !isGivenUp(host.record, claim)) return { name, next: state };
+  if (change === undefined || !acknowledgesClaim(host.record, claim)) return { name, next: state };
   const acknowledged = [...change.acknowledged, index].sort();
   const majorityAt =
     change.majorityAt ?? (isMajority(acknowledged.length, HOSTS) ? state.now : undefined);
@@ -204,7 +204,7 @@
 function isFree({ change, now }: EraState): boolean {
   if (change?.majorityAt === undefined) return false;
   if (change.acknowledged.length === HOSTS) return true;
-  return now >= silentHostFreeAt(change.majorityAt, ERA_RULES);
+  return now >= proofsExpiredAt(change.majorityAt, ERA_RULES);
 }
 
 /** Names the successor under the condition that the claim is what the store holds. */
@@ -237,14 +237,14 @@
     .map(({ others, former }) => openStep(state, others, former, variant));
 }
 
-function formerOf(others: number): FormerHosts {
+function formerOf(others: number): PreviousEraHosts {
   return { listed: HOSTS, answered: 1 + others, replaced: 0 };
 }
 
 function openStep(
   state: EraState,
   others: readonly number[],
-  former: FormerHosts,
+  former: PreviousEraHosts,
   variant: EraVariant,
 ): Step {
   const told = others.map((index) => hostAt(state, index));
@@ -252,7 +252,7 @@
     (host, { record, fence }) => take(host, record, fence),
     take(hostAt(state, OPENER), state.store.record, state.store.fence),
   );
-  const raised = openingFence(knows.fence, former);
+  const raised = initialFence(knows.fence, former);
   const isKept = variant === EraVariant.NothingWrittenBack;
   const opened = {
     record: isKept ? state.store.record : knows.record,
@@ -268,7 +268,7 @@
   const { store, now, secondFence } = state;
   const { era, eraSince } = hostAt(state, OPENER);
   const isDue = store.era > 0 && store.isOpened && era === store.era;
-  if (!isDue || secondFence !== undefined || now < eraSince + ERA_RULES.proofLifeMs) return [];
+  if (!isDue || secondFence !== undefined || now < eraSince + ERA_RULES.proofTtlMs) return [];
   return [{ name: 'second call', next: { ...state, secondFence: store.fence + 1 } }];
 }
 
--- a/packages/measure/src/era-model/era-state.ts
+++ b/packages/measure/src/era-model/era-state.ts
@@ -53,7 +53,7 @@
 export const HOSTS = 3;
 
 /** Times of the model, in ticks: a proof lives two, a list of hosts longer than the model runs. */
-export const ERA_RULES: AuthorityRules = { proofLifeMs: 2, marginMs: 0, listLifeMs: 100 };
+export const ERA_RULES: AuthorityRules = { proofTtlMs: 2, marginMs: 0, hostListTtlMs: 100 };
 
 /** Fence of the claim by host 0. */
 export const FIRST_FENCE = 1;
--- a/packages/measure/src/model/explore.ts
+++ b/packages/measure/src/model/explore.ts
@@ -2,7 +2,7 @@
  * Explores the model: every interleaving of a small one, or random walks through a larger one.
  */
 import type { RandomSource } from '@gladespool/coordination';
-import { AckVerdict, GroupPhase, UpstreamRole } from '@gladespool/coordination';
+import { AckDecision, GroupPhase, UpstreamRole } from '@gladespool/coordination';
 import type { ModelFault } from './breadth-first.js';
 import { visitAll } from './breadth-first.js';
 import type { ModelState } from './model-state.js';
@@ -34,8 +34,8 @@
   if (primary?.term !== state.record.term) return undefined;
   for (const [index, write] of state.writes.entries()) {
     const stands = primary.log.includes(index);
-    if (write.told === AckVerdict.Confirmed && !stands) return `confirmed write ${index} is lost`;
-    if (write.told === AckVerdict.Superseded && stands) return `refused write ${index} stands`;
+    if (write.told === AckDecision.Confirmed && !stands) return `confirmed write ${index} is lost`;
+    if (write.told === AckDecision.Superseded && stands) return `refused write ${index} stands`;
   }
   return undefined;
 }
@@ -52,8 +52,8 @@
   };
   const visit = visitAll(model, limit, (state) => {
     const told = state.writes.map((write) => write.told);
-    if (told.includes(AckVerdict.Confirmed)) confirmed += 1;
-    if (told.includes(AckVerdict.Superseded)) superseded += 1;
+    if (told.includes(AckDecision.Confirmed)) confirmed += 1;
+    if (told.includes(AckDecision.Superseded)) superseded += 1;
   });
   const { states, complete, fault } = visit;
   return { states, confirmed, superseded, complete, violation: fault };
@@ -87,8 +87,8 @@
       }
     }
     const told = state.writes.map((write) => write.told);
-    if (told.includes(AckVerdict.Confirmed)) confirmed += 1;
-    if (told.includes(AckVerdict.Superseded)) superseded += 1;
+    if (told.includes(AckDecision.Confirmed)) confirmed += 1;
+    if (told.includes(AckDecision.Superseded)) superseded += 1;
   }
   return { states, confirmed, superseded, complete: false, violation: undefined };
 }
--- a/packages/measure/src/model/model-state.ts
+++ b/packages/measure/src/model/model-state.ts
@@ -3,7 +3,7 @@
  * the very state machine of the library, and a store with compare-and-swap.
  */
 import type {
-  AckVerdict,
+  AckDecision,
   GroupRecord,
   Lineage,
   Position,
@@ -37,7 +37,7 @@
 /** A write of the model. */
 export interface ModelWrite {
   readonly position: Position | undefined;
-  readonly told: AckVerdict | undefined;
+  readonly told: AckDecision | undefined;
 }
 
 /** An action under way; it may outlive the attempt that ordered it. */
--- a/packages/measure/src/model/model-steps.ts
+++ b/packages/measure/src/model/model-steps.ts
@@ -9,7 +9,7 @@
   UpstreamId,
 } from '@gladespool/coordination';
 import {
-  AckVerdict,
+  AckDecision,
   advancePromotion,
   GroupPhase,
   hostId,
@@ -17,7 +17,7 @@
   sharedPrefix,
   startPromotion,
   UpstreamRole,
-  upstreamsToFollow,
+  upstreamsToRepoint,
 } from '@gladespool/coordination';
 import type { ModelStep } from './breadth-first.js';
 import type { ModelPromoter, ModelState, ModelUpstream, PendingAction } from './model-state.js';
@@ -104,7 +104,7 @@
     const { known: record, reports } = state;
     const input = { position: write.position, record, members: MEMBERS, reports };
     const verdict = rules.acknowledgement.decide(input);
-    return verdict === AckVerdict.Waiting ? write : { ...write, told: verdict };
+    return verdict === AckDecision.Waiting ? write : { ...write, told: verdict };
   });
   return { ...state, writes };
 }
@@ -166,9 +166,9 @@
   const { record } = state;
   const report = reportOf(upstream, rules.reportsFollowedTerm);
   const spec = { upstreams: MEMBERS.map((id) => ({ id })) } as unknown as Parameters<
-    typeof upstreamsToFollow
+    typeof upstreamsToRepoint
   >[0];
-  const wanted = upstream.up && upstreamsToFollow(spec, record, [report]).length > 0;
+  const wanted = upstream.up && upstreamsToRepoint(spec, record, [report]).length > 0;
   const already = upstream.following === record.primary && upstream.term === record.term;
   if (!wanted || already) return [];
   const keep = Math.min(upstream.log.length, sharedPrefix(upstream.lineage, record.lineage));
--- a/packages/measure/src/successor-model/successor-model.ts
+++ b/packages/measure/src/successor-model/successor-model.ts
@@ -8,7 +8,7 @@
   claimedRecord,
   groupId,
   hostId,
-  keptSuccessor,
+  retainedSuccessor,
   namedRecord,
   RecordPhase,
   servingRecord,
@@ -99,7 +99,7 @@
   const isOver = record.phase === RecordPhase.Serving && record.epoch > LOST.epoch;
   if (isOver || record.epoch >= LAST_EPOCH) return [];
   const isFree = variant === SuccessorVariant.ChoosesAnew;
-  const kept = isFree ? undefined : keptSuccessor(record, REACHED);
+  const kept = isFree ? undefined : retainedSuccessor(record, REACHED);
   const claim = claimedRecord(record, HOLDER, kept);
   const choices = kept === undefined ? REPLICAS : [kept.id];
   return choices.map((chosen) => ({
--- a/packages/operator/src/bundle-diff.ts
+++ b/packages/operator/src/bundle-diff.ts
@@ -33,12 +33,12 @@
 }
 
 function addGroup(found: Map<string, string>, group: GroupSpec): void {
-  const { connectionsPerUpstream, defaultMaxAgeMs, acknowledgement, sessionRule } = group;
+  const { connectionsPerUpstream, defaultMaxAgeMs, acknowledgement, sessionGuarantee } = group;
   const rules = [
     `connections_per_upstream=${connectionsPerUpstream}`,
     `max_age_ms=${defaultMaxAgeMs}`,
     `acknowledgement=${acknowledgement}`,
-    `session=${sessionRule}`,
+    `session=${sessionGuarantee}`,
   ];
   found.set(`group.${group.id}`, rules.join(' '));
   for (const { id, az, address, port, state } of group.upstreams) {
--- a/packages/pool/src/connection-pool.ts
+++ b/packages/pool/src/connection-pool.ts
@@ -6,7 +6,7 @@
  */
 import type { GladespoolError, WorkspaceId } from '@gladespool/coordination';
 import type { Priority } from '@gladespool/coordination';
-import { RefusalReason, Reuse } from '@gladespool/coordination';
+import { RefusalReason, ConnectionAvailability } from '@gladespool/coordination';
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 import type { Owner, Waiting } from './waiting-order.js';
@@ -103,9 +103,11 @@
   }
 
   /** What is there for a request of `owner`. */
-  reuseFor(owner: Owner): Reuse {
-    if (this.idle.some((idle) => idle.owner === owner)) return Reuse.Ready;
-    return this.connections < this.limits.maxConnections ? Reuse.Room : Reuse.Full;
+  reuseFor(owner: Owner): ConnectionAvailability {
+    if (this.idle.some((idle) => idle.owner === owner)) return ConnectionAvailability.Ready;
+    return this.connections < this.limits.maxConnections
+      ? ConnectionAvailability.CanOpen
+      : ConnectionAvailability.Full;
   }
 
   /** Expected wait of a new request, milliseconds, from the mean hold time of a connection. */
--- a/packages/protocol/src/config/bundle.ts
+++ b/packages/protocol/src/config/bundle.ts
@@ -9,9 +9,9 @@
   azId,
   groupId,
   hash32,
-  LEAST_ZONE_PART,
+  MIN_ZONE_SHARE,
   majorityOf,
-  SessionRule,
+  SessionGuarantee,
   upstreamId,
   UpstreamState,
 } from '@gladespool/coordination';
@@ -45,7 +45,9 @@
   acknowledgement: oneOf([AcknowledgementKind.Majority, AcknowledgementKind.PrimaryCommit]).default(
     AcknowledgementKind.Majority,
   ),
-  session: oneOf([SessionRule.Monotonic, SessionRule.OwnWrites]).default(SessionRule.Monotonic),
+  session: oneOf([SessionGuarantee.Monotonic, SessionGuarantee.OwnWrites]).default(
+    SessionGuarantee.Monotonic,
+  ),
 });
 
 const upstreamSection = z.strictObject({
@@ -123,7 +125,7 @@
     connectionsPerUpstream: value.connections_per_upstream,
     defaultMaxAgeMs: value.max_age_ms,
     acknowledgement: value.acknowledgement,
-    sessionRule: value.session,
+    sessionGuarantee: value.session,
   }));
   checkGroups(document, specs, upstreams);
   return specs;
@@ -164,9 +166,9 @@
     document.report({ section, key: '', seen: `${active} active`, allowed });
   }
   const zones = new Set(group.upstreams.map((spec) => spec.az)).size;
-  if (group.connectionsPerUpstream < zones * LEAST_ZONE_PART) {
+  if (group.connectionsPerUpstream < zones * MIN_ZONE_SHARE) {
     const seen = String(group.connectionsPerUpstream);
-    const allowed = `at least ${LEAST_ZONE_PART} for each of its ${zones} availability zones`;
+    const allowed = `at least ${MIN_ZONE_SHARE} for each of its ${zones} availability zones`;
     document.report({ section, key: 'connections_per_upstream', seen, allowed });
   }
 }
@@ -284,7 +286,7 @@
         connections_per_upstream: spec.connectionsPerUpstream,
         max_age_ms: spec.defaultMaxAgeMs,
         acknowledgement: spec.acknowledgement,
-        session: spec.sessionRule,
+        session: spec.sessionGuarantee,
       },
     ]),
   );
--- a/packages/proxy/src/control/membership-service.ts
+++ b/packages/proxy/src/control/membership-service.ts
@@ -5,12 +5,12 @@
 import type { AzId, Blackboard, GroupRecord, HostId, Member } from '@gladespool/coordination';
 import {
   heartbeatIntervalMs,
-  joinViews,
-  LoopDelay,
+  mergeViews,
+  EventLoopMonitor,
   MemberState,
   relaysOf,
   sameMember,
-  workingHosts,
+  activeHosts,
 } from '@gladespool/coordination';
 import type { Logger } from '@gladespool/observability';
 import type { Frame, FrameOf } from '@gladespool/protocol';
@@ -67,7 +67,7 @@
   private readonly askedAt = new Map<HostId, number>();
   private listed: readonly ListedHost[] = [];
   private readonly timer: NodeJS.Timeout;
-  private readonly loop: LoopDelay;
+  private readonly loop: EventLoopMonitor;
   /** Whether hosts that don't answer count as silent; not right after a pause of this process. */
   private mayJudge = true;
   private readonly startedAt = performance.now();
@@ -76,7 +76,7 @@
   constructor(private readonly options: MembershipOptions) {
     options.network.addHandler(this);
     const tickMs = options.rules.heartbeatMs / TICKS_PER_BEAT;
-    this.loop = new LoopDelay(tickMs, performance.now());
+    this.loop = new EventLoopMonitor(tickMs, performance.now());
     this.timer = setInterval(() => {
       this.tick(performance.now());
     }, tickMs);
@@ -104,9 +104,9 @@
   }
 
   private tick(now: number): void {
-    this.mayJudge = this.loop.noteTick(now);
+    this.mayJudge = this.loop.recordTick(now);
     const { board, rules } = this.options;
-    const members = workingHosts(board.members, board.az).length;
+    const members = activeHosts(board.members, board.az).length;
     const interval = heartbeatIntervalMs(rules.heartbeatMs, members, rules.expireMs);
     if (now - this.lastBeatAt >= interval - TICK_SLACK_MS) this.beat(now);
   }
@@ -141,7 +141,7 @@
 
   /** Relays of a zone by what this host knows, those that don't answer left out. */
   private relaysIn(az: AzId): readonly HostId[] {
-    const known = new Set<HostId>(workingHosts(this.options.board.members, az));
+    const known = new Set<HostId>(activeHosts(this.options.board.members, az));
     for (const host of this.listed) if (host.az === az && !host.leaving) known.add(host.host);
     if (az === this.options.board.az && !this.options.board.draining) {
       known.add(this.options.board.host);
@@ -246,10 +246,10 @@
     const { board, self } = this.options;
     const own = self();
     const views = [...this.views.values()].map((view) => [...view.members.values()]);
-    const joined = joinViews(views).filter((member) => member.host !== own.host);
+    const joined = mergeViews(views).filter((member) => member.host !== own.host);
     const members = [...joined, own];
     if (!sameList(members, board.members)) board.putMembers(members);
-    if (this.knowsMembers(views.length)) board.noteMembersKnown();
+    if (this.knowsMembers(views.length)) board.markMembersKnown();
   }
 }
 
--- a/packages/proxy/src/control/promotion-service.ts
+++ b/packages/proxy/src/control/promotion-service.ts
@@ -17,15 +17,15 @@
   attemptDelayMs,
   GroupPhase,
   homesOf,
-  isAgreed,
-  LoopDelay,
-  neededSuspicionMs,
+  isSuspectedByMajority,
+  EventLoopMonitor,
+  requiredSuspicionMs,
   PromotionStage,
   rankCandidates,
   UpstreamRole,
   UpstreamState,
-  upstreamsToFollow,
-  workingHosts,
+  upstreamsToRepoint,
+  activeHosts,
   zonesOfGroup,
 } from '@gladespool/coordination';
 import type { HostMetrics, Logger } from '@gladespool/observability';
@@ -89,7 +89,7 @@
   private readonly poll: SuspicionPoll;
   private readonly progress = new Map<GroupId, GroupProgress>();
   private readonly timer: NodeJS.Timeout;
-  private readonly loop = new LoopDelay(TICK_MS, performance.now());
+  private readonly loop = new EventLoopMonitor(TICK_MS, performance.now());
   private lastAttempt = 0;
 
   constructor(private readonly options: PromotionServiceOptions) {
@@ -97,7 +97,7 @@
     options.network.addHandler(this);
     this.timer = setInterval(() => {
       const now = performance.now();
-      if (this.loop.noteTick(now)) this.tick(now);
+      if (this.loop.recordTick(now)) this.tick(now);
     }, TICK_MS);
   }
 
@@ -149,7 +149,7 @@
   private isSuspect(home: GroupHome, spec: GroupSpec, record: GroupRecord, now: number): boolean {
     const { suspectAfterMs, damping } = this.options.rules;
     const { lastPromotionAt } = home.context.board.observation(home.group, now);
-    const needed = neededSuspicionMs(suspectAfterMs, lastPromotionAt, now, damping);
+    const needed = requiredSuspicionMs(suspectAfterMs, lastPromotionAt, now, damping);
     return home.unconfirmableMs(spec, record, now) > needed;
   }
 
@@ -181,7 +181,7 @@
     const others = this.homesElsewhere(spec);
     const opinions = await this.poll.ask(spec.id, record.term, others);
     const own = { az, suspects: true };
-    const agreed = isAgreed(zonesOfGroup(spec), [...opinions, own]);
+    const agreed = isSuspectedByMajority(zonesOfGroup(spec), [...opinions, own]);
     if (agreed) await pause(attemptDelayMs(0, this.rank(spec), rules.damping, random));
     progress.busy = false;
     const present = home.record;
@@ -370,7 +370,7 @@
     const reports = home.reports(spec).map((timed) => timed.report);
     const primary = reports.find((report) => report.upstream === record.primary);
     if (primary?.role !== UpstreamRole.Primary) return;
-    for (const id of upstreamsToFollow(spec, record, reports)) {
+    for (const id of upstreamsToRepoint(spec, record, reports)) {
       if (now - (progress.followedAt.get(id) ?? -Infinity) < FOLLOW_INTERVAL_MS) continue;
       progress.followedAt.set(id, now);
       const { address, port } = target;
@@ -403,7 +403,7 @@
   private homesEverywhere(spec: GroupSpec): readonly Member[] {
     const { board } = this.options.homes.context;
     const names = zonesOfGroup(spec).flatMap((az) =>
-      homesOf(spec.id, workingHosts(board.members, az), this.options.rules.homesPerGroup),
+      homesOf(spec.id, activeHosts(board.members, az), this.options.rules.homesPerGroup),
     );
     return board.members.filter((member) => names.includes(member.host));
   }
--- a/packages/proxy/src/control/relay-service.ts
+++ b/packages/proxy/src/control/relay-service.ts
@@ -3,14 +3,14 @@
  * pushes news at once to every host that sends heartbeats here. Every host can be a relay; which
  * ones are follows from membership.
  */
-import type { AzId, HeardMember, HostId, Member } from '@gladespool/coordination';
+import type { AzId, TrackedMember, HostId, Member } from '@gladespool/coordination';
 import {
   azId,
   expiredMembers,
   hostId,
-  LoopDelay,
+  EventLoopMonitor,
   MemberState,
-  takeHeartbeat,
+  applyHeartbeat,
 } from '@gladespool/coordination';
 import type { Frame, FrameOf } from '@gladespool/protocol';
 import { FrameKind } from '@gladespool/protocol';
@@ -31,11 +31,11 @@
 /** Relay role of one host. */
 export class RelayService implements PeerHandler {
   readonly news = new NewsBoard();
-  private readonly heard = new Map<HostId, HeardMember>();
+  private readonly heard = new Map<HostId, TrackedMember>();
   private readonly versions = new Map<HostId, number>();
   private readonly sentUpTo = new Map<PeerLink, number>();
   private readonly expiry: NodeJS.Timeout;
-  private readonly loop: LoopDelay;
+  private readonly loop: EventLoopMonitor;
   private pushTimer: NodeJS.Timeout | undefined;
 
   constructor(
@@ -45,10 +45,10 @@
     private readonly parts: PartSource,
   ) {
     const checkMs = rules.expireMs / EXPIRY_CHECKS;
-    this.loop = new LoopDelay(checkMs, performance.now());
+    this.loop = new EventLoopMonitor(checkMs, performance.now());
     this.expiry = setInterval(() => {
       const now = performance.now();
-      if (this.loop.noteTick(now)) this.expire(now);
+      if (this.loop.recordTick(now)) this.expire(now);
     }, checkMs);
   }
 
@@ -95,18 +95,18 @@
   }
 
   private judge(member: Member, now: number): void {
-    const effect = takeHeartbeat(this.heard.get(member.host), member, now);
+    const effect = applyHeartbeat(this.heard.get(member.host), member, now);
     this.heard.set(member.host, effect.heard);
     if (this.news.putMember(effect.heard.member)) this.push();
   }
 
   private expire(now: number): void {
     for (const gone of expiredMembers([...this.heard.values()], now, this.rules.expireMs)) {
-      this.heard.set(gone.host, { member: gone, heardAt: now });
+      this.heard.set(gone.host, { member: gone, lastHeartbeatAt: now });
       if (this.news.putMember(gone)) this.push();
     }
-    for (const [host, { member, heardAt }] of this.heard) {
-      const isOld = now - heardAt > this.rules.expireMs * FORGET_FACTOR;
+    for (const [host, { member, lastHeartbeatAt }] of this.heard) {
+      const isOld = now - lastHeartbeatAt > this.rules.expireMs * FORGET_FACTOR;
       if (member.state !== MemberState.Gone || !isOld) continue;
       this.heard.delete(host);
       this.versions.delete(host);
--- a/packages/proxy/src/control/suspicion-poll.ts
+++ b/packages/proxy/src/control/suspicion-poll.ts
@@ -1,7 +1,7 @@
 /**
  * Asks homes of other zones whether they suspect a primary too, and answers them.
  */
-import type { AzId, GroupId, Member, ZoneOpinion } from '@gladespool/coordination';
+import type { AzId, GroupId, Member, ZoneVote } from '@gladespool/coordination';
 import type { Frame } from '@gladespool/protocol';
 import { FrameKind, TimeLimit } from '@gladespool/protocol';
 import type { PeerHandler, PeerLink, PeerNetwork } from '@gladespool/peers';
@@ -24,11 +24,7 @@
   }
 
   /** Opinion of each home that answered in time. */
-  async ask(
-    group: GroupId,
-    term: number,
-    homes: readonly Member[],
-  ): Promise<readonly ZoneOpinion[]> {
+  async ask(group: GroupId, term: number, homes: readonly Member[]): Promise<readonly ZoneVote[]> {
     const answers = homes.map((home) => this.askOne(group, term, home));
     const opinions = await Promise.all(answers);
     return opinions.filter((opinion) => opinion !== undefined);
@@ -46,12 +42,12 @@
     // Answers that were lost with a link time out like any other.
   }
 
-  private askOne(group: GroupId, term: number, home: Member): Promise<ZoneOpinion | undefined> {
+  private askOne(group: GroupId, term: number, home: Member): Promise<ZoneVote | undefined> {
     this.lastId += 1;
     const id = this.lastId;
     const az: AzId = home.az;
     return new Promise((resolve) => {
-      const done = (opinion: ZoneOpinion | undefined): void => {
+      const done = (opinion: ZoneVote | undefined): void => {
         limit.clear();
         this.pending.delete(id);
         resolve(opinion);
