--- a/packages/proxy/src/entry/home-router.ts
+++ b/packages/proxy/src/entry/home-router.ts
@@ -8,9 +8,9 @@
   homesOf,
   RefusalReason,
   refuse,
-  RetryAllowance,
+  RetryLimiter,
   RetryReason,
-  workingHosts,
+  activeHosts,
   zonesOfGroup,
 } from '@gladespool/coordination';
 import type { HostMetrics } from '@gladespool/observability';
@@ -41,19 +41,19 @@
 /** Routes requests to homes. */
 export class HomeRouter {
   private turn = 0;
-  private readonly retries = new RetryAllowance(DEFAULT_RETRY_BUDGET);
+  private readonly retries = new RetryLimiter(DEFAULT_RETRY_BUDGET);
 
   constructor(private readonly options: HomeRouterOptions) {}
 
   /** Runs a request on a home, or on `pinned` when a transaction is open there. */
   async run(req: RunRequest, pinned: HostId | undefined): Promise<RoutedOutcome> {
-    this.retries.noteRequest();
+    this.retries.recordRequest();
     if (pinned !== undefined) return this.runOn(req, pinned);
     let last = refusalOf(RefusalReason.NoHome);
     for (const home of this.candidates(req)) {
       last = await this.runOn(req, home);
       if (!isUnsent(last.outcome) && !isLostRead(req, last.outcome)) return last;
-      if (!this.retries.take()) return last;
+      if (!this.retries.tryAcquire()) return last;
       this.options.metrics.retries.inc({ reason: RetryReason.PeerUnreachable });
     }
     return last;
@@ -79,7 +79,7 @@
     const far = zones.filter((az) => az !== board.az);
     this.turn += 1;
     const perZone = [...near, ...far].map((az) => {
-      const homes = homesOf(req.group, workingHosts(board.members, az), homesPerGroup);
+      const homes = homesOf(req.group, activeHosts(board.members, az), homesPerGroup);
       return rotate(homes, this.preferredIndex(homes));
     });
     return perZone.flat();
--- a/packages/proxy/src/home/acknowledger.ts
+++ b/packages/proxy/src/home/acknowledger.ts
@@ -11,7 +11,7 @@
   TimedReport,
   UpstreamId,
 } from '@gladespool/coordination';
-import { AckVerdict, authorityAt } from '@gladespool/coordination';
+import { AckDecision, authorityAt } from '@gladespool/coordination';
 
 /** Asks every upstream of a group for its status once; reports arrive on the blackboard. */
 export type ProbeRound = () => Promise<void>;
@@ -25,9 +25,9 @@
 }
 
 interface Waiter {
-  readonly decide: () => AckVerdict;
+  readonly decide: () => AckDecision;
   readonly deadlineAt: number;
-  readonly settle: (verdict: AckVerdict) => void;
+  readonly settle: (verdict: AckDecision) => void;
 }
 
 /** Pause between rounds that brought nothing, milliseconds. */
@@ -41,7 +41,7 @@
   constructor(private readonly options: AcknowledgerOptions) {}
 
   /** Waits until `position` is confirmed, superseded, or `deadlineAt` (then `Waiting`). */
-  confirm(position: Position, deadlineAt: number): Promise<AckVerdict> {
+  confirm(position: Position, deadlineAt: number): Promise<AckDecision> {
     return this.wait(() => this.decide(position), deadlineAt);
   }
 
@@ -49,13 +49,13 @@
    * Waits until the primary of `term` is proved not to have been superseded at `since`, local
    * milliseconds, or `deadlineAt` (then `Waiting`).
    */
-  confirmAuthority(term: number, since: number, deadlineAt: number): Promise<AckVerdict> {
+  confirmAuthority(term: number, since: number, deadlineAt: number): Promise<AckDecision> {
     return this.wait(() => this.decideAuthority(term, since), deadlineAt);
   }
 
-  private wait(decide: () => AckVerdict, deadlineAt: number): Promise<AckVerdict> {
+  private wait(decide: () => AckDecision, deadlineAt: number): Promise<AckDecision> {
     const verdict = decide();
-    if (verdict !== AckVerdict.Waiting) return Promise.resolve(verdict);
+    if (verdict !== AckDecision.Waiting) return Promise.resolve(verdict);
     return new Promise((settle) => {
       this.waiters.push({ decide, deadlineAt, settle });
       if (!this.probing) void this.probeUntilSettled();
@@ -78,24 +78,24 @@
     const waiting: Waiter[] = [];
     for (const waiter of this.waiters) {
       const verdict = waiter.decide();
-      if (verdict !== AckVerdict.Waiting || now >= waiter.deadlineAt) waiter.settle(verdict);
+      if (verdict !== AckDecision.Waiting || now >= waiter.deadlineAt) waiter.settle(verdict);
       else waiting.push(waiter);
     }
     this.waiters = waiting;
   }
 
-  private decide(position: Position): AckVerdict {
+  private decide(position: Position): AckDecision {
     const record = this.options.board.record(this.options.group)?.record;
-    if (record === undefined) return AckVerdict.Waiting;
+    if (record === undefined) return AckDecision.Waiting;
     const members = this.members();
     const reports = this.reports(members).map((timed) => timed.report);
     return this.options.rule.decide({ position, record, members, reports });
   }
 
-  private decideAuthority(term: number, since: number): AckVerdict {
+  private decideAuthority(term: number, since: number): AckDecision {
     const members = this.members();
     const proved = authorityAt(members, this.reports(members), term) >= since;
-    return proved ? AckVerdict.Confirmed : AckVerdict.Waiting;
+    return proved ? AckDecision.Confirmed : AckDecision.Waiting;
   }
 
   private members(): readonly UpstreamId[] {
--- a/packages/proxy/src/home/home-service.ts
+++ b/packages/proxy/src/home/home-service.ts
@@ -5,14 +5,14 @@
 import type { GroupId } from '@gladespool/coordination';
 import {
   groupId,
-  homePart,
+  homeShare,
   homesOf,
   RefusalReason,
   refuse,
   requestId,
   Section,
-  workingHosts,
-  zonePart,
+  activeHosts,
+  zoneShare,
 } from '@gladespool/coordination';
 import type { Frame, FrameOf } from '@gladespool/protocol';
 import { FrameKind, TransactionStatus } from '@gladespool/protocol';
@@ -26,7 +26,7 @@
 export interface HomeServiceRules {
   readonly homesPerGroup: number;
   /** Time after which a host that lost a home has surely given its connections back, milliseconds. */
-  readonly surrenderMs: number;
+  readonly releaseTimeoutMs: number;
 }
 
 interface Held {
@@ -120,10 +120,10 @@
     const { board } = this.context;
     const { bundle } = board;
     if (this.stopped || bundle === undefined || !board.membersKnown) return;
-    const hosts = workingHosts(board.members, board.az);
+    const hosts = activeHosts(board.members, board.az);
     const mine = new Set<GroupId>();
     for (const spec of bundle.groups.values()) {
-      if (zonePart(spec, board.az) === 0) continue;
+      if (zoneShare(spec, board.az) === 0) continue;
       const homes = homesOf(spec.id, hosts, this.rules.homesPerGroup);
       if (homes.includes(board.host)) mine.add(spec.id);
     }
@@ -135,9 +135,9 @@
     const entry = this.homes.get(group) ?? this.open(group, now);
     const spec = this.context.board.spec(group);
     if (spec === undefined) return;
-    const part = zonePart(spec, this.context.board.az);
+    const part = zoneShare(spec, this.context.board.az);
     const tenure = { since: entry.since, handedOver: entry.settled };
-    entry.home.setPart(homePart(part, tenure, this.rules, now));
+    entry.home.setPart(homeShare(part, tenure, this.rules, now));
   }
 
   private open(group: GroupId, now: number): Held {
@@ -151,8 +151,8 @@
   private giveUp(group: GroupId, entry: Held): void {
     this.homes.delete(group);
     this.context.log.info('home-given-up', { group, busy: entry.home.busy });
-    void entry.home.retire(this.rules.surrenderMs).then(() => {
-      if (!this.homes.has(group)) this.context.board.forgetObservation(group);
+    void entry.home.retire(this.rules.releaseTimeoutMs).then(() => {
+      if (!this.homes.has(group)) this.context.board.removeObservation(group);
     });
   }
 
--- a/packages/proxy/src/home/ledger-cleaner.ts
+++ b/packages/proxy/src/home/ledger-cleaner.ts
@@ -3,7 +3,7 @@
  * first of the zone that its primary is in.
  */
 import type { GroupHome } from './group-home.js';
-import { homesOf, Priority, workingHosts } from '@gladespool/coordination';
+import { homesOf, Priority, activeHosts } from '@gladespool/coordination';
 import { planQueries } from './exchange-plan.js';
 import { forgetSql } from './request-ledger.js';
 
@@ -43,7 +43,7 @@
     const primary = spec?.upstreams.find((upstream) => upstream.id === record?.primary);
     const { board } = home.context;
     if (primary?.az !== board.az) return;
-    const hosts = workingHosts(board.members, board.az);
+    const hosts = activeHosts(board.members, board.az);
     const [first] = homesOf(home.group, hosts, this.rules.homesPerGroup);
     if (first !== board.host) return;
     const now = performance.now();
--- a/packages/proxy/src/home/read-flow.ts
+++ b/packages/proxy/src/home/read-flow.ts
@@ -8,19 +8,19 @@
   GroupSpec,
   ReadChoice,
   RefusalReason as Reason,
-  RetryAllowance,
+  RetryLimiter,
   UpstreamId,
   UpstreamReport,
 } from '@gladespool/coordination';
 import {
-  AckVerdict,
+  AckDecision,
   coverage,
   Coverage,
-  FAILED_AFTER,
+  FAILURE_THRESHOLD,
   Priority,
   RefusalReason,
   RetryReason,
-  SessionRule,
+  SessionGuarantee,
   UpstreamRole,
 } from '@gladespool/coordination';
 import { RunIntent } from '@gladespool/protocol';
@@ -49,7 +49,7 @@
 export interface ReadFlowOptions {
   readonly home: GroupHome;
   readonly work: UpstreamWork;
-  readonly retries: RetryAllowance;
+  readonly retries: RetryLimiter;
   /** Runs a request that turned out to write. */
   readonly writeInstead: (req: RunRequest) => Promise<RunOutcome>;
 }
@@ -58,7 +58,7 @@
 export class ReadFlow {
   private readonly home: GroupHome;
   private readonly work: UpstreamWork;
-  private readonly retries: RetryAllowance;
+  private readonly retries: RetryLimiter;
 
   constructor(private readonly options: ReadFlowOptions) {
     this.home = options.home;
@@ -86,7 +86,7 @@
       }
       const attempt = await this.readOn(req, ground, choice.upstream);
       if (attempt.kind === 'final') return attempt.outcome;
-      if (!this.retries.take()) return attempt.last;
+      if (!this.retries.tryAcquire()) return attempt.last;
       this.home.context.metrics.retries.inc({ reason: attempt.reason });
       if (attempt.reason === RetryReason.ReadOnlyUpstream)
         return this.options.writeInstead(asWrite(req));
@@ -100,14 +100,14 @@
     const { routing, random, rules, board } = this.home.context;
     const now = performance.now();
     const maxWaitMs = Math.min(rules.replicaWaitMs, req.deadlineAt - now);
-    const need = {
+    const requirements = {
       floor: req.floor,
       barrier: req.barrier,
       maxAgeMs: maxAgeOf(req, ground.spec),
       maxWaitMs,
     };
     const views = this.home.views(ground.spec, ground.record, now);
-    return routing.choose({ ...ground, az: board.az, views, need, tried }, random);
+    return routing.choose({ ...ground, az: board.az, views, requirements, tried }, random);
   }
 
   /**
@@ -122,7 +122,7 @@
     const stale = views.filter(
       ({ spec, health }) =>
         spec.id !== ground.record.primary &&
-        health.failures < FAILED_AFTER &&
+        health.failures < FAILURE_THRESHOLD &&
         now - (health.last?.sentAt ?? -Infinity) > FRESH_MS,
     );
     const controls = stale.map(({ spec }) => this.home.control(spec.id));
@@ -192,10 +192,11 @@
     }
     const covered = await this.home.acknowledger.confirm(after.applied, req.deadlineAt);
     const fresh = !req.barrier || (await this.authorityConfirmed(req, ground));
-    if (covered !== AckVerdict.Confirmed || !fresh) {
+    if (covered !== AckDecision.Confirmed || !fresh) {
       return final(refusal(RefusalReason.ReadNotCovered));
     }
-    const seen = ground.spec.sessionRule === SessionRule.Monotonic ? after.applied : undefined;
+    const seen =
+      ground.spec.sessionGuarantee === SessionGuarantee.Monotonic ? after.applied : undefined;
     return final(answerOf(main, 0, seen, replica));
   }
 
@@ -204,7 +205,7 @@
     const { term } = ground.record;
     const { arrivedAt, deadlineAt } = req;
     const verdict = await this.home.acknowledger.confirmAuthority(term, arrivedAt, deadlineAt);
-    return verdict === AckVerdict.Confirmed;
+    return verdict === AckDecision.Confirmed;
   }
 }
 
--- a/packages/proxy/src/home/request-flow.ts
+++ b/packages/proxy/src/home/request-flow.ts
@@ -1,7 +1,7 @@
 /**
  * Runs the requests of one home, each by the flow of its kind.
  */
-import { DEFAULT_RETRY_BUDGET, RetryAllowance } from '@gladespool/coordination';
+import { DEFAULT_RETRY_BUDGET, RetryLimiter } from '@gladespool/coordination';
 import { RunIntent } from '@gladespool/protocol';
 import type { GroupHome } from './group-home.js';
 import { ReadFlow } from './read-flow.js';
@@ -12,7 +12,7 @@
 
 /** Requests of one home. */
 export class RequestFlow {
-  private readonly retries = new RetryAllowance(DEFAULT_RETRY_BUDGET);
+  private readonly retries = new RetryLimiter(DEFAULT_RETRY_BUDGET);
   private readonly reads: ReadFlow;
   private readonly writes: WriteFlow;
   private readonly transactions: TransactionFlow;
@@ -32,7 +32,7 @@
   /** Runs one request to its outcome. */
   async run(req: RunRequest): Promise<RunOutcome> {
     const leave = this.home.enter();
-    this.retries.noteRequest();
+    this.retries.recordRequest();
     try {
       return await this.dispatch(req);
     } finally {
--- a/packages/proxy/src/home/status-watcher.ts
+++ b/packages/proxy/src/home/status-watcher.ts
@@ -12,7 +12,7 @@
   UpstreamReport,
 } from '@gladespool/coordination';
 import {
-  addMark,
+  addWatermark,
   afterFailure,
   afterReport,
   authorityAt,
@@ -99,7 +99,9 @@
     const { report } = timed;
     const isPrimary = record?.primary === report.upstream && servesTerm(report, record.term);
     const mark = { sentAt: timed.sentAt, position: report.received };
-    const marks = isPrimary ? addMark(observation.marks, mark, MARK_SPACING_MS) : observation.marks;
+    const marks = isPrimary
+      ? addWatermark(observation.marks, mark, MARK_SPACING_MS)
+      : observation.marks;
     const applyRates = new Map(observation.applyRates);
     const rate = rateBetween(before, timed);
     if (rate !== undefined) {
--- a/packages/proxy/src/home/transaction-flow.ts
+++ b/packages/proxy/src/home/transaction-flow.ts
@@ -2,7 +2,7 @@
  * Continues and ends open transactions on their pinned connection.
  */
 import type { UpstreamReport } from '@gladespool/coordination';
-import { AckVerdict, RefusalReason } from '@gladespool/coordination';
+import { AckDecision, RefusalReason } from '@gladespool/coordination';
 import { RunIntent } from '@gladespool/protocol';
 import type { AnswerSegment } from '@gladespool/upstreams';
 import { errorStateOf, isIdle } from '@gladespool/upstreams';
@@ -52,9 +52,9 @@
     if (report === undefined) return refusal(RefusalReason.OutcomeUnknown);
     const position = open.onPrimary ? report.received : report.applied;
     const verdict = await this.home.acknowledger.confirm(position, req.deadlineAt);
-    if (verdict === AckVerdict.Confirmed) return answerOf(main, 0, position, !open.onPrimary);
+    if (verdict === AckDecision.Confirmed) return answerOf(main, 0, position, !open.onPrimary);
     if (!open.onPrimary) return refusal(RefusalReason.ReadNotCovered);
-    const superseded = verdict === AckVerdict.Superseded;
+    const superseded = verdict === AckDecision.Superseded;
     return refusal(superseded ? RefusalReason.Superseded : RefusalReason.OutcomeUnknown);
   }
 }
--- a/packages/proxy/src/home/write-flow.ts
+++ b/packages/proxy/src/home/write-flow.ts
@@ -3,8 +3,8 @@
  */
 import type { UpstreamId, UpstreamReport } from '@gladespool/coordination';
 import {
-  AckVerdict,
-  FAILED_AFTER,
+  AckDecision,
+  FAILURE_THRESHOLD,
   GroupPhase,
   majorityOf,
   Priority,
@@ -84,7 +84,7 @@
     const silentMs = this.home.unconfirmableMs(ground.spec, ground.record, now);
     if (silentMs <= this.home.context.rules.suspectAfterMs) return WriteStance.Run;
     const views = this.home.views(ground.spec, ground.record, now);
-    const reached = views.filter((view) => view.health.failures < FAILED_AFTER).length;
+    const reached = views.filter((view) => view.health.failures < FAILURE_THRESHOLD).length;
     return reached >= majorityOf(views.length) ? WriteStance.Hold : WriteStance.Refuse;
   }
 
@@ -142,8 +142,8 @@
   ): Promise<Attempt> {
     if (report === undefined) return final(refusal(RefusalReason.OutcomeUnknown));
     const verdict = await this.home.acknowledger.confirm(report.received, req.deadlineAt);
-    if (verdict === AckVerdict.Confirmed) return final(answerOf(main, 0, report.received, false));
-    const superseded = verdict === AckVerdict.Superseded;
+    if (verdict === AckDecision.Confirmed) return final(answerOf(main, 0, report.received, false));
+    const superseded = verdict === AckDecision.Superseded;
     return final(refusal(superseded ? RefusalReason.Superseded : RefusalReason.OutcomeUnknown));
   }
 
--- a/packages/proxy/src/host.ts
+++ b/packages/proxy/src/host.ts
@@ -12,7 +12,7 @@
   MemberState,
   SeededRandom,
   Section,
-  workingHosts,
+  activeHosts,
   zonesOfGroup,
 } from '@gladespool/coordination';
 import { ControlTraffic, createLogger, HostMetrics } from '@gladespool/observability';
@@ -134,7 +134,7 @@
     this.callers = this.createCallers();
     this.status = new StatusServer({ metrics: this.metrics, notReady: () => this.notReady() });
     this.board.onChange(Section.Members, () => {
-      this.metrics.liveHosts.set(workingHosts(this.board.members, az).length);
+      this.metrics.liveHosts.set(activeHosts(this.board.members, az).length);
       this.storeRelay.setActive(this.membership.isRelay);
       this.offerStoredHead();
     });
@@ -310,7 +310,7 @@
         metrics: this.metrics,
         log: createLogger('home', { host: settings.host, az: settings.az }),
       },
-      { homesPerGroup: peer.homes_per_group, surrenderMs: peer.expire_ms + peer.heartbeat_ms },
+      { homesPerGroup: peer.homes_per_group, releaseTimeoutMs: peer.expire_ms + peer.heartbeat_ms },
     );
   }
 
