--- a/packages/gateway/src/control/hosts/host-retirer.ts
+++ b/packages/gateway/src/control/hosts/host-retirer.ts
@@ -50,8 +50,9 @@
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
-    if (frame.kind === FrameKind.PingAsk) link.send({ kind: FrameKind.PingReply, id: frame.id });
-    if (frame.kind === FrameKind.MissedAsk) void this.answerMissed(link, frame);
+    if (frame.kind === FrameKind.PingRequest)
+      link.send({ kind: FrameKind.PingReply, id: frame.id });
+    if (frame.kind === FrameKind.IndirectPingRequest) void this.answerMissed(link, frame);
   }
 
   onLost(): void {
@@ -89,7 +90,7 @@
   }
 
   private async answers(entry: HostEntry): Promise<boolean> {
-    const build = (id: number) => ({ kind: FrameKind.PingAsk, id }) as const;
+    const build = (id: number) => ({ kind: FrameKind.PingRequest, id }) as const;
     return (await this.options.calls.ask(entry, build, PING_TIMEOUT_MS)).isOk();
   }
 
@@ -108,10 +109,11 @@
   ): Promise<{ readonly listed: number; readonly missing: number; readonly reaching: number }> {
     const { board, calls, round } = this.options;
     const others = round.others.filter((entry) => entry.host !== silent.host);
-    const ask = (id: number) => ({ kind: FrameKind.MissedAsk, id, host: silent.host }) as const;
+    const ask = (id: number) =>
+      ({ kind: FrameKind.IndirectPingRequest, id, host: silent.host }) as const;
     const answers = await Promise.all(others.map((other) => calls.ask(other, ask, ASK_TIMEOUT_MS)));
     const told = answers.map((answer) =>
-      answer.isOk() && answer.value.kind === FrameKind.MissedReply
+      answer.isOk() && answer.value.kind === FrameKind.IndirectPingReply
         ? answer.value.reached
         : undefined,
     );
@@ -132,9 +134,12 @@
     log.info('host-retired', { retired: entry.host, result: changeEnd(result) });
   }
 
-  private async answerMissed(link: PeerLink, ask: FrameOf<FrameKind.MissedAsk>): Promise<void> {
+  private async answerMissed(
+    link: PeerLink,
+    ask: FrameOf<FrameKind.IndirectPingRequest>,
+  ): Promise<void> {
     const entry = this.options.board.hosts.get(hostId(ask.host));
     const reached = entry !== undefined && (await this.answers(entry));
-    link.send({ kind: FrameKind.MissedReply, id: ask.id, reached });
+    link.send({ kind: FrameKind.IndirectPingReply, id: ask.id, reached });
   }
 }
--- a/packages/gateway/src/control/hosts/host-round.ts
+++ b/packages/gateway/src/control/hosts/host-round.ts
@@ -15,7 +15,7 @@
 import type { RelayOrder } from '../../knowledge/relay-order.js';
 
 /** A question that all hosts may be asked. */
-export type RoundQuestion = FrameOf<FrameKind.RoundAsk>['question'];
+export type RoundQuestion = FrameOf<FrameKind.RoundRequest>['question'];
 
 /** One host's answer. */
 export interface RoundAnswer {
@@ -97,7 +97,7 @@
    * Tells the other hosts of news: each one of a small zone, the first ones of a larger zone, on which the
    * questions of the others wait for it.
    */
-  tellAll(frame: FrameOf<FrameKind.StoreNews>): void {
+  tellAll(frame: FrameOf<FrameKind.StoreUpdate>): void {
     const zones = [...new Set(this.others.map((entry) => entry.az))];
     for (const entry of zones.flatMap((az) => this.toldFirst(az))) {
       void this.options.calls.tell(entry, frame);
@@ -105,8 +105,8 @@
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
-    if (frame.kind === FrameKind.RoundAsk) void this.answer(link, frame);
-    if (frame.kind === FrameKind.RoundAnswers) this.takeAnswers(frame);
+    if (frame.kind === FrameKind.RoundRequest) void this.answer(link, frame);
+    if (frame.kind === FrameKind.RoundReplies) this.takeAnswers(frame);
   }
 
   onLost(): void {
@@ -188,12 +188,12 @@
       };
       const timer = setTimeout(end, timeoutMs);
       this.open.set(round, { take, end });
-      const ask = { kind: FrameKind.RoundAsk, round, waitMs: timeoutMs, question } as const;
+      const ask = { kind: FrameKind.RoundRequest, round, waitMs: timeoutMs, question } as const;
       void this.options.calls.tell(entry, ask);
     });
   }
 
-  private takeAnswers({ round, answers, items, done }: FrameOf<FrameKind.RoundAnswers>): void {
+  private takeAnswers({ round, answers, items, done }: FrameOf<FrameKind.RoundReplies>): void {
     const held = this.open.get(round);
     if (held === undefined) return;
     for (const { host, incarnation } of answers) {
@@ -203,7 +203,7 @@
   }
 
   /** Asks the other hosts of this host's zone for another host, and passes their answers on. */
-  private async answer(link: PeerLink, ask: FrameOf<FrameKind.RoundAsk>): Promise<void> {
+  private async answer(link: PeerLink, ask: FrameOf<FrameKind.RoundRequest>): Promise<void> {
     const { board, order } = this.options;
     const { round, question, waitMs } = ask;
     const hosts = order.hosts.filter((entry) => entry.host !== board.host);
@@ -228,9 +228,9 @@
   round: number,
   answers: readonly RoundAnswer[],
   done: boolean,
-): FrameOf<FrameKind.RoundAnswers> {
+): FrameOf<FrameKind.RoundReplies> {
   return {
-    kind: FrameKind.RoundAnswers,
+    kind: FrameKind.RoundReplies,
     round,
     answers: answers.map(({ host, incarnation }) => ({ host, incarnation })),
     items: [...distinct(answers.flatMap(({ items }) => items))],
--- a/packages/gateway/src/control/promotion/promotion-attempt.ts
+++ b/packages/gateway/src/control/promotion/promotion-attempt.ts
@@ -144,7 +144,7 @@
   private async holdWrites(): Promise<boolean> {
     const { group, epoch } = this.former;
     const own = this.ctx.holds.hold(group, epoch, HOLD_MS, performance.now());
-    const question = { kind: FrameKind.HoldAsk, id: 0, group, epoch, holdMs: HOLD_MS } as const;
+    const question = { kind: FrameKind.HoldRequest, id: 0, group, epoch, holdMs: HOLD_MS } as const;
     const others = this.ctx.round.askAll(question, HOLD_MS + HOLD_ANSWER_MS);
     const [answered] = await Promise.all([others, own]);
     return isMajority(1 + answered.size, this.ctx.board.listedHosts);
@@ -186,7 +186,7 @@
     let majorityAt = claim.confirmedAt;
     const { others, unknown } = this.ctx.round;
     const listed = others.length + unknown.length + 1;
-    const question = { kind: FrameKind.RevokeAsk, id: 0, item: claim.item } as const;
+    const question = { kind: FrameKind.RevokeRequest, id: 0, item: claim.item } as const;
     const answered = await this.ctx.round.askAll(question, REVOKE_TIMEOUT_MS, () => {
       if (isMajority(acked, listed)) return;
       acked += 1;
@@ -278,7 +278,7 @@
   private async nameServing(claim: RecordClaim, primary: UpstreamIdentity): Promise<boolean> {
     const item = await this.swap(claim, servingRecord(claim.record, primary));
     if (item === undefined) return false;
-    this.ctx.round.tellAll({ kind: FrameKind.StoreNews, items: [item] });
+    this.ctx.round.tellAll({ kind: FrameKind.StoreUpdate, items: [item] });
     return true;
   }
 
--- a/packages/gateway/src/control/promotion/promotion-controller.ts
+++ b/packages/gateway/src/control/promotion/promotion-controller.ts
@@ -113,13 +113,13 @@
 
   onFrame(link: PeerLink, frame: Frame): void {
     switch (frame.kind) {
-      case FrameKind.RevokeAsk:
+      case FrameKind.RevokeRequest:
         this.answerRevoke(link, frame);
         return;
-      case FrameKind.HoldAsk:
+      case FrameKind.HoldRequest:
         void this.answerHold(link, frame);
         return;
-      case FrameKind.ReachAsk:
+      case FrameKind.ReachabilityRequest:
         void this.answerReach(link, frame);
         return;
       default:
@@ -266,7 +266,7 @@
   }
 
   /** Gives the former primary up, and says so only if the claim is what this host now holds. */
-  private answerRevoke(link: PeerLink, ask: FrameOf<FrameKind.RevokeAsk>): void {
+  private answerRevoke(link: PeerLink, ask: FrameOf<FrameKind.RevokeRequest>): void {
     const { view, board } = this.options.context;
     view.takeItems([ask.item], performance.now());
     const claim = readOwnDocument(ask.item.key, ask.item.value);
@@ -277,17 +277,20 @@
     link.send({ kind: FrameKind.RevokeReply, id: ask.id });
   }
 
-  private async answerHold(link: PeerLink, ask: FrameOf<FrameKind.HoldAsk>): Promise<void> {
+  private async answerHold(link: PeerLink, ask: FrameOf<FrameKind.HoldRequest>): Promise<void> {
     const group = groupId(ask.group);
     await this.options.context.holds.hold(group, ask.epoch, ask.holdMs, performance.now());
     link.send({ kind: FrameKind.HoldReply, id: ask.id });
   }
 
-  private async answerReach(link: PeerLink, ask: FrameOf<FrameKind.ReachAsk>): Promise<void> {
+  private async answerReach(
+    link: PeerLink,
+    ask: FrameOf<FrameKind.ReachabilityRequest>,
+  ): Promise<void> {
     this.leaveToOther(link.host as HostId, groupId(ask.group));
     if (!this.options.context.view.hasRead) return;
     const reaches = await this.options.monitor.reaches(groupId(ask.group));
-    const answer = { kind: FrameKind.ReachReply, id: ask.id } as const;
+    const answer = { kind: FrameKind.ReachabilityReply, id: ask.id } as const;
     link.send(reaches === undefined ? answer : { ...answer, reaches });
   }
 
--- a/packages/gateway/src/control/promotion/reach-poll.ts
+++ b/packages/gateway/src/control/promotion/reach-poll.ts
@@ -59,9 +59,10 @@
 
   private async askOther(host: HostEntry, record: PrimaryRecord): Promise<ReachAnswer> {
     const { group, epoch } = record;
-    const ask = (id: number) => ({ kind: FrameKind.ReachAsk, id, group, epoch }) as const;
+    const ask = (id: number) =>
+      ({ kind: FrameKind.ReachabilityRequest, id, group, epoch }) as const;
     const answer = await this.options.calls.ask(host, ask, REACH_TIMEOUT_MS);
-    const told = answer.isOk() && answer.value.kind === FrameKind.ReachReply;
+    const told = answer.isOk() && answer.value.kind === FrameKind.ReachabilityReply;
     return { host: host.host, reaches: told ? answer.value.reaches : undefined };
   }
 
--- a/packages/gateway/src/control/proofs/peer-renewer.ts
+++ b/packages/gateway/src/control/proofs/peer-renewer.ts
@@ -61,7 +61,7 @@
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
-    if (frame.kind !== FrameKind.RenewAsk) return;
+    if (frame.kind !== FrameKind.RenewRequest) return;
     const { self, view, board } = this.options;
     const isListed = board.hosts.get(hostId(frame.host))?.incarnation === frame.incarnation;
     if (board.draining || !isListed) return;
@@ -80,7 +80,7 @@
     if (list?.hosts.get(self.host) !== self.incarnation) return;
     this.asking = true;
     const { host, incarnation } = self;
-    const question = { kind: FrameKind.RenewAsk, id: 0, host, incarnation } as const;
+    const question = { kind: FrameKind.RenewRequest, id: 0, host, incarnation } as const;
     let answered = 1;
     await round.askAll(question, TIMEOUT_MS, (answer) => {
       if (this.takeSupport(answer, list)) answered += 1;
--- a/packages/gateway/src/control/proofs/sync-answers.ts
+++ b/packages/gateway/src/control/proofs/sync-answers.ts
@@ -12,7 +12,7 @@
 import type { ProofKeeper } from './proof-keeper.js';
 import type { StoreView } from '../store/store-view.js';
 
-type SyncAsk = FrameOf<FrameKind.SyncAsk>;
+type SyncAsk = FrameOf<FrameKind.SyncRequest>;
 type SyncReply = FrameOf<FrameKind.SyncReply>;
 
 /**
@@ -59,7 +59,7 @@
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
-    if (frame.kind !== FrameKind.SyncAsk) return;
+    if (frame.kind !== FrameKind.SyncRequest) return;
     const held = { link, ask: frame, arrivedAt: performance.now() };
     if (frame.waitMs > 0 && !this.hasNewerProof(held)) this.held.push(held);
     else this.answer(held);
--- a/packages/gateway/src/control/proofs/sync-service.ts
+++ b/packages/gateway/src/control/proofs/sync-service.ts
@@ -176,7 +176,7 @@
   }
 
   onFrame(_link: PeerLink, frame: Frame): void {
-    if (frame.kind !== FrameKind.StoreNews) return;
+    if (frame.kind !== FrameKind.StoreUpdate) return;
     this.options.view.takeItems(frame.items, performance.now());
   }
 
@@ -299,7 +299,7 @@
     };
     const result = await calls.ask(
       peer,
-      (id) => ({ kind: FrameKind.SyncAsk, id, ...question }),
+      (id) => ({ kind: FrameKind.SyncRequest, id, ...question }),
       waitMs + rules.timeoutMs,
       { heldMs: waitMs },
     );
--- a/packages/gateway/src/control/store/document-exchange.ts
+++ b/packages/gateway/src/control/store/document-exchange.ts
@@ -52,7 +52,7 @@
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
-    if (frame.kind === FrameKind.DocumentsAsk) this.answer(link, frame);
+    if (frame.kind === FrameKind.DocumentsRequest) this.answer(link, frame);
   }
 
   onLost(): void {
@@ -61,7 +61,7 @@
 
   private async fetchOnce(peer: PeerAddress, position: StorePosition): Promise<void> {
     const { view, calls, log } = this.options;
-    const ask = (id: number) => ({ kind: FrameKind.DocumentsAsk, id, position }) as const;
+    const ask = (id: number) => ({ kind: FrameKind.DocumentsRequest, id, position }) as const;
     const result = await calls.ask(peer, ask, FETCH_TIMEOUT_MS);
     if (result.isErr() || result.value.kind !== FrameKind.DocumentsReply) {
       log.info('documents-not-fetched', {
@@ -80,7 +80,7 @@
     view.merge({ complete, position: upTo, ...documents.value }, performance.now());
   }
 
-  private answer(link: PeerLink, ask: FrameOf<FrameKind.DocumentsAsk>): void {
+  private answer(link: PeerLink, ask: FrameOf<FrameKind.DocumentsRequest>): void {
     const { complete, upTo, packed } = this.packedSince(ask.position);
     link.send({ kind: FrameKind.DocumentsReply, id: ask.id, complete, position: upTo, packed });
   }
--- a/packages/gateway/src/control/store/document-reader.ts
+++ b/packages/gateway/src/control/store/document-reader.ts
@@ -54,7 +54,7 @@
       const place = reading.place.slice(0, MAX_TOLD_CHARS);
       this.log.warn('store-document-unreadable', { ...logged, place });
     }
-    if (verdict === DocumentVerdict.NoConcern) this.log.trace('store-key-ignored', logged);
+    if (verdict === DocumentVerdict.Unrelated) this.log.trace('store-key-ignored', logged);
     if (verdict === DocumentVerdict.Unconfigured) this.log.info('upstream-unconfigured', logged);
   }
 }
--- a/packages/gateway/src/control/store/document-reading.ts
+++ b/packages/gateway/src/control/store/document-reading.ts
@@ -6,7 +6,7 @@
 
 /** A key that holds no document of a known kind. */
 interface KeyOfNoConcern {
-  readonly verdict: DocumentVerdict.NoConcern;
+  readonly verdict: DocumentVerdict.Unrelated;
 }
 
 /** A document of a known kind that can't be used. */
@@ -23,7 +23,7 @@
   | UnreadableDocument;
 
 /** Outcome for a key of no known kind. */
-export const OF_NO_CONCERN: KeyOfNoConcern = { verdict: DocumentVerdict.NoConcern };
+export const OF_NO_CONCERN: KeyOfNoConcern = { verdict: DocumentVerdict.Unrelated };
 
 /** Outcome for a document that was decoded. */
 export function usedDocument<Document>(document: Document): DocumentReading<Document> {
--- a/packages/gateway/src/control/store/era-opener.ts
+++ b/packages/gateway/src/control/store/era-opener.ts
@@ -98,7 +98,7 @@
     if (formerHosts.size === 0) return { listed: 0, answered: 0, replaced: 0 };
     const { host, incarnation } = self;
     let answered = formerHosts.get(host) === incarnation ? 1 : 0;
-    const question = { kind: FrameKind.RenewAsk, id: 0, host, incarnation } as const;
+    const question = { kind: FrameKind.RenewRequest, id: 0, host, incarnation } as const;
     await round.askAll(question, ASK_TIMEOUT_MS, (answer) => {
       view.takeItems(answer.items, performance.now());
       if (formerHosts.get(answer.host) === answer.incarnation) answered += 1;
--- a/packages/gateway/src/control/store/present-era.ts
+++ b/packages/gateway/src/control/store/present-era.ts
@@ -34,7 +34,7 @@
     this.formerHosts = this.listedProcesses();
     if (former.revision === 0) return;
     this.log.warn('store-came-back-older', { era, former: formatStorePosition(former) });
-    this.metrics.storeReturns.inc();
+    this.metrics.storeRestores.inc();
   }
 
   /** Notes that the gateway's own documents of the era were taken: hosts that it lists may know more as well. */
--- a/packages/gateway/src/control/store/store-documents.ts
+++ b/packages/gateway/src/control/store/store-documents.ts
@@ -3,7 +3,7 @@
  */
 import type { GroupId, HostId, PrimaryRecord } from '@gladespool/coordination';
 import { azId, groupId, hostId, RecordPhase, upstreamId } from '@gladespool/coordination';
-import { MAX_ENTRY_CHARS, parseStored } from '@gladespool/protocol';
+import { MAX_ENTRY_CHARS, parseUntrustedJson } from '@gladespool/protocol';
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 import * as z from 'zod';
@@ -108,19 +108,19 @@
   const group = groupOfKey(key);
   if (group !== undefined) return readingOf(decodeRecord(group, text));
   if (key.startsWith(ERA_PREFIX)) {
-    const marker = parseStored(eraMarkerSchema, text, MAX_ENTRY_CHARS);
+    const marker = parseUntrustedJson(eraMarkerSchema, text, MAX_ENTRY_CHARS);
     return readingOf(
       marker.map(({ catalogVersion }) => ({ kind: 'era', catalogVersion }) as const),
     );
   }
   if (key !== DUTY_KEY) return OF_NO_CONCERN;
-  const duty = parseStored(dutyRecordSchema, text, MAX_ENTRY_CHARS);
+  const duty = parseUntrustedJson(dutyRecordSchema, text, MAX_ENTRY_CHARS);
   return readingOf(duty.map((decoded) => ({ kind: 'duty', duty: decoded }) as const));
 }
 
 /** An entry counts only under the key of its host: nobody else can list one. */
 function decodeHost(host: HostId, text: string): Result<OwnDocument, string> {
-  const entry = parseStored(hostEntrySchema, text, MAX_ENTRY_CHARS);
+  const entry = parseUntrustedJson(hostEntrySchema, text, MAX_ENTRY_CHARS);
   return entry.andThen<Result<OwnDocument, string>>((decoded) =>
     decoded.host === host ? ok({ kind: 'host', entry: decoded }) : err('host: not that of the key'),
   );
@@ -128,7 +128,7 @@
 
 /** A record counts only under the key of its group, since just that key is changed under a condition. */
 function decodeRecord(group: GroupId, text: string): Result<OwnDocument, string> {
-  const record = parseStored(primaryRecordSchema, text, MAX_ENTRY_CHARS);
+  const record = parseUntrustedJson(primaryRecordSchema, text, MAX_ENTRY_CHARS);
   return record.andThen<Result<OwnDocument, string>>((decoded) =>
     decoded.group === group
       ? ok({ kind: 'primary', record: decoded })
--- a/packages/gateway/src/forward/forward-frames.ts
+++ b/packages/gateway/src/forward/forward-frames.ts
@@ -10,7 +10,7 @@
 import type { Outcome } from '../model/outcome.js';
 import type { Work } from '../model/statement.js';
 
-type ForwardAsk = FrameOf<FrameKind.ForwardAsk>;
+type ForwardAsk = FrameOf<FrameKind.ForwardRequest>;
 type ForwardReply = FrameOf<FrameKind.ForwardReply>;
 type WireWork = NonNullable<ForwardAsk['work']>;
 type WireRefusal = Extract<ForwardReply['outcome'], { readonly kind: 'refused' }>;
--- a/packages/gateway/src/forward/forward-service.ts
+++ b/packages/gateway/src/forward/forward-service.ts
@@ -13,7 +13,7 @@
 import type { Work } from '../model/statement.js';
 import { decodeJob, decodeStep, decodeWork, encodeReply } from './forward-frames.js';
 
-type ForwardAsk = FrameOf<FrameKind.ForwardAsk>;
+type ForwardAsk = FrameOf<FrameKind.ForwardRequest>;
 
 interface HeldTransaction {
   readonly link: PeerLink;
@@ -47,7 +47,7 @@
   ) {}
 
   onFrame(link: PeerLink, frame: Frame): void {
-    if (frame.kind === FrameKind.ForwardAsk) void this.answer(link, frame);
+    if (frame.kind === FrameKind.ForwardRequest) void this.answer(link, frame);
     if (frame.kind === FrameKind.ForwardRollback) this.rollBack(frame.transaction);
   }
 
--- a/packages/gateway/src/forward/mark-exchange.ts
+++ b/packages/gateway/src/forward/mark-exchange.ts
@@ -53,12 +53,12 @@
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
-    if (frame.kind !== FrameKind.MarkAsk) return;
+    if (frame.kind !== FrameKind.WatermarkRequest) return;
     const { marks } = this.options.home(groupId(frame.group));
     const { newest } = marks;
     const known = marks.currentEpoch === frame.epoch ? newest : undefined;
     const mark = known && { position: known.position, ageMs: performance.now() - known.sentAt };
-    link.send({ kind: FrameKind.MarkReply, id: frame.id, ...(mark && { mark }) });
+    link.send({ kind: FrameKind.WatermarkReply, id: frame.id, ...(mark && { mark }) });
   }
 
   onLost(): void {
@@ -77,12 +77,12 @@
     const { epoch } = record;
     const answer = await calls.ask(
       peer,
-      (id) => ({ kind: FrameKind.MarkAsk, id, group, epoch }),
+      (id) => ({ kind: FrameKind.WatermarkRequest, id, group, epoch }),
       FETCH_TIMEOUT_MS,
     );
     this.fetching.delete(group);
     // Who does not answer is noted by the calls themselves; reads ask the primary meanwhile.
-    if (answer.isErr() || answer.value.kind !== FrameKind.MarkReply) return;
+    if (answer.isErr() || answer.value.kind !== FrameKind.WatermarkReply) return;
     const { mark } = answer.value;
     if (mark === undefined) return;
     // The question was sent no later than it arrived, so the age counted from then is never too small.
--- a/packages/gateway/src/forward/remote-executor.ts
+++ b/packages/gateway/src/forward/remote-executor.ts
@@ -17,7 +17,7 @@
 import { decodeOutcome, encodeTimes, encodeWork } from './forward-frames.js';
 
 type ForwardReply = FrameOf<FrameKind.ForwardReply>;
-type AskFields = Omit<FrameOf<FrameKind.ForwardAsk>, 'kind' | 'id'>;
+type AskFields = Omit<FrameOf<FrameKind.ForwardRequest>, 'kind' | 'id'>;
 
 /** Added to a statement's time before the other host counts as silent, milliseconds. */
 const SLACK_MS = 50;
@@ -63,7 +63,7 @@
 
   /** Asks the other host. */
   async ask(fields: AskFields, timeoutMs: number): Promise<Result<ForwardReply, GladespoolError>> {
-    const build = (id: number) => ({ kind: FrameKind.ForwardAsk, id, ...fields }) as const;
+    const build = (id: number) => ({ kind: FrameKind.ForwardRequest, id, ...fields }) as const;
     const answer = await this.calls.ask(this.peer, build, timeoutMs + SLACK_MS, {
       linkTimeoutMs: LINK_TIMEOUT_MS,
     });
--- a/packages/gateway/src/home/group-home.ts
+++ b/packages/gateway/src/home/group-home.ts
@@ -31,7 +31,7 @@
   ConnectionAvailability,
 } from '@gladespool/coordination';
 import type { DepositionEvidence, HostMetrics, Logger } from '@gladespool/observability';
-import { BirthEvidence } from '@gladespool/observability';
+import { RestartEvidence } from '@gladespool/observability';
 import type { PoolLimits } from '@gladespool/pool';
 import type { GatewayBoard } from '../knowledge/board.js';
 import type { WriteHolds } from '../knowledge/write-holds.js';
@@ -218,7 +218,7 @@
   noteLostLog(id: UpstreamId, floor: Position | undefined, told: Position | undefined): boolean {
     if (!hasRegressed(floor, told)) return false;
     const { metrics, log } = this.context;
-    metrics.upstreamsBornAnew.inc({ evidence: BirthEvidence.Position });
+    metrics.upstreamRestarts.inc({ evidence: RestartEvidence.Position });
     log.warn('primary-went-back', {
       group: this.group,
       upstream: id,
@@ -303,7 +303,7 @@
     held.stop();
     if (mayBeSameUpstream(held.entry, told)) return;
     const { metrics, log } = this.context;
-    metrics.upstreamsBornAnew.inc({ evidence: BirthEvidence.Entry });
+    metrics.upstreamRestarts.inc({ evidence: RestartEvidence.Entry });
     log.info('upstream-born-anew', {
       group: this.group,
       upstream: told.id,
--- a/packages/gateway/src/limits/allowance-keeper.ts
+++ b/packages/gateway/src/limits/allowance-keeper.ts
@@ -106,7 +106,7 @@
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
-    if (frame.kind !== FrameKind.AllowanceAsk) return;
+    if (frame.kind !== FrameKind.AllowanceRequest) return;
     const { id, workspace, wanted } = frame;
     const answer = this.ask(workspaceId(workspace), wanted, performance.now());
     link.send({ kind: FrameKind.AllowanceReply, id, ...answer });
--- a/packages/gateway/src/limits/operation-limits.ts
+++ b/packages/gateway/src/limits/operation-limits.ts
@@ -148,7 +148,7 @@
     if (peer === undefined || !calls.isReachable(peer, performance.now())) return undefined;
     const answer = await calls.ask(
       peer,
-      (id) => ({ kind: FrameKind.AllowanceAsk, id, workspace, wanted }),
+      (id) => ({ kind: FrameKind.AllowanceRequest, id, workspace, wanted }),
       ASK_TIMEOUT_MS,
     );
     const frame = answer.isOk() ? answer.value : undefined;
@@ -169,7 +169,7 @@
   private admitAlone(workspace: WorkspaceId, account: Account, now: number): Refusal | undefined {
     const { metrics, board } = this.options;
     const [host] = this.options.directory.keepersOf(workspace);
-    metrics.limitsAlone.inc();
+    metrics.localLimitDecisions.inc();
     if (account.share.canAdmit(now)) {
       account.share.recordAdmission(now);
       return undefined;
--- a/packages/gateway/src/peering/peer-liveness.ts
+++ b/packages/gateway/src/peering/peer-liveness.ts
@@ -103,7 +103,7 @@
       if (pingedAt === undefined) {
         if (now - dueAt < pingAfterMs) continue;
         state.pingedAt = now;
-        link.send({ kind: FrameKind.PingAsk, id: PING_ID });
+        link.send({ kind: FrameKind.PingRequest, id: PING_ID });
       } else if (now - pingedAt >= closeAfterMs) {
         this.log.info('peer-silent', { peer: link.host, silent_ms: Math.round(now - dueAt) });
         this.noteUnreachable(link.host, now);
--- a/packages/gateway/tests/bound-regions-in-action.steps.ts
+++ b/packages/gateway/tests/bound-regions-in-action.steps.ts
@@ -261,7 +261,7 @@
     build: (id: number) => Parameters<typeof encodeFrame>[0],
   ): Promise<Result<never, GladespoolError>> => {
     const [frame] = new FrameDecoder('p').push(encodeFrame(build(1)))._unsafeUnwrap();
-    assert.ok(frame?.kind === FrameKind.ForwardAsk && frame.route !== undefined);
+    assert.ok(frame?.kind === FrameKind.ForwardRequest && frame.route !== undefined);
     this.held = decodeJob(frame, frame.route, 0).regions;
     return Promise.resolve(err(FAILED));
   };
--- a/packages/gateway/tests/host-round.steps.ts
+++ b/packages/gateway/tests/host-round.steps.ts
@@ -74,7 +74,7 @@
     tell: (peer, frame) => {
       count(peer);
       const to = hostId(peer.host);
-      if (frame.kind === FrameKind.StoreNews) world.told.push(to);
+      if (frame.kind === FrameKind.StoreUpdate) world.told.push(to);
       if (!silent(peer)) world.rounds.get(to)?.onFrame(linkTo(world, to, self), frame);
       return Promise.resolve(true);
     },
@@ -141,7 +141,13 @@
 );
 
 When('host 0 asks all others', async function (this: RoundWorld) {
-  const question = { kind: FrameKind.HoldAsk, id: 0, group: 'g1', epoch: 1, holdMs: 1 } as const;
+  const question = {
+    kind: FrameKind.HoldRequest,
+    id: 0,
+    group: 'g1',
+    epoch: 1,
+    holdMs: 1,
+  } as const;
   const answered = await this.rounds.get(ASKER)?.askAll(question, TIMEOUT_MS, (answer) => {
     this.answers.push(answer);
   });
@@ -172,7 +178,7 @@
 );
 
 When('host 0 tells the others of a changed record', function (this: RoundWorld) {
-  this.rounds.get(ASKER)?.tellAll({ kind: FrameKind.StoreNews, items: [] });
+  this.rounds.get(ASKER)?.tellAll({ kind: FrameKind.StoreUpdate, items: [] });
 });
 
 Then(
--- a/packages/gateway/tests/sync-answers.steps.ts
+++ b/packages/gateway/tests/sync-answers.steps.ts
@@ -74,7 +74,7 @@
     const listedAt = /\d+/.exec(listed)?.[0];
     create(this, listedAt === undefined ? undefined : Number(listedAt));
     this.answers.onFrame(this.link, {
-      kind: FrameKind.SyncAsk,
+      kind: FrameKind.SyncRequest,
       id: 1,
       host: ASKER,
       incarnation: 1,
@@ -98,7 +98,7 @@
   'a host listed at revision 5 asks that holds the documents up to revision {int}',
   function (this: AnswersWorld, ownRevision: number) {
     this.answers.onFrame(this.link, {
-      kind: FrameKind.SyncAsk,
+      kind: FrameKind.SyncRequest,
       id: 1,
       host: ASKER,
       incarnation: 1,
--- a/packages/gateway/tests/upstream-born-anew.steps.ts
+++ b/packages/gateway/tests/upstream-born-anew.steps.ts
@@ -2,7 +2,7 @@
 import { setTimeout as pause } from 'node:timers/promises';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { RecordPhase, upstreamId } from '@gladespool/coordination';
-import { BirthEvidence } from '@gladespool/observability';
+import { RestartEvidence } from '@gladespool/observability';
 import type { UpstreamEntry } from '../src/index.js';
 import type { ActionWorld } from './fakes/action-world.js';
 import { FORMER, host, PRIMARY_KEY } from './fakes/action-world.js';
@@ -229,8 +229,8 @@
     deployment.hosts.every(({ gateway }) => gateway.board.upstreams.get(REPLICA)?.born === LATER),
   );
   for (const { metrics } of deployment.hosts) {
-    const { values } = await metrics.upstreamsBornAnew.get();
-    const seen = values.filter(({ labels }) => labels.evidence === BirthEvidence.Entry);
+    const { values } = await metrics.upstreamRestarts.get();
+    const seen = values.filter(({ labels }) => labels.evidence === RestartEvidence.Entry);
     assert.deepEqual(
       seen.map(({ value }) => value),
       [1],
--- a/packages/gateway/tests/work-near-upstreams.steps.ts
+++ b/packages/gateway/tests/work-near-upstreams.steps.ts
@@ -147,7 +147,7 @@
     build: (id: number) => Frame,
   ): Promise<Result<Frame, GladespoolError>> => {
     world.asked.push(peer.host);
-    const isMark = build(1).kind === FrameKind.MarkAsk;
+    const isMark = build(1).kind === FrameKind.WatermarkRequest;
     return Promise.resolve(isMark && world.told ? ok(world.told) : err(FAILED));
   };
   return { isReachable: () => true, ask, tell: () => undefined } as unknown as PeerCalls;
@@ -219,7 +219,7 @@
   /^it runs a read, and the home that it asks tells a mark of epoch (\w+) that is (\d+) ms old$/,
   async function (this: NearWorld, epoch: string, ageMs: string) {
     const mark = { position: { term: 1, offset: 2 }, ageMs: Number(ageMs) };
-    const reply = { kind: FrameKind.MarkReply, id: 1 } as const;
+    const reply = { kind: FrameKind.WatermarkReply, id: 1 } as const;
     this.told = epoch === 'none' ? reply : { ...reply, mark };
     this.marks.keepFresh(jobOf(Access.Read), this.now);
     // A second read at the same time asks no second time.
--- a/packages/gateway/tests/workspace-limits-in-action.steps.ts
+++ b/packages/gateway/tests/workspace-limits-in-action.steps.ts
@@ -112,7 +112,7 @@
       isReachable: () => true,
       ask: (_peer, build) => {
         const frame = build(1);
-        assert.equal(frame.kind, FrameKind.AllowanceAsk);
+        assert.equal(frame.kind, FrameKind.AllowanceRequest);
         this.asked.push(frame.wanted);
         const answer = left.shift();
         const place = { step: Step.PeerExchange, peer: KEEPER };
--- a/packages/observability/src/closed-pipe.ts
+++ b/packages/observability/src/closed-pipe.ts
@@ -4,7 +4,7 @@
 import type { Writable } from 'node:stream';
 
 /** Watches an output stream for a closed pipe. */
-export function endOnClosedPipe(output: Writable): void {
+export function exitOnClosedPipe(output: Writable): void {
   output.on('error', (error: NodeJS.ErrnoException) => {
     if (error.code === 'EPIPE') process.exit(0);
     throw error;
--- a/packages/observability/src/log-output.ts
+++ b/packages/observability/src/log-output.ts
@@ -28,7 +28,7 @@
   }
 
   /** Lines dropped since the last call. */
-  takeLost(): number {
+  takeDropped(): number {
     const { lost } = this;
     this.lost = 0;
     return lost;
--- a/packages/observability/src/log.ts
+++ b/packages/observability/src/log.ts
@@ -61,7 +61,7 @@
  * Sends every line to standard output, bounded in volume and without waiting for its reader; once a
  * second a line tells what was left out.
  */
-export function boundLogs(): void {
+export function installLogOutput(): void {
   const output = new LogOutput(STANDARD_OUTPUT);
   const ownLimiter = new LogLimiter(MAX_LINES_OF_EVENT);
   limiter = ownLimiter;
@@ -70,7 +70,7 @@
   };
   const log = createLogger('log');
   const timer = setInterval(() => {
-    const lost = output.takeLost();
+    const lost = output.takeDropped();
     if (lost > 0) log.warn('lines-lost', { lines: lost });
     for (const { event, lines } of ownLimiter.takeSuppressed()) {
       log.info('lines-suppressed', { of: event, lines });
--- a/packages/observability/src/metrics.ts
+++ b/packages/observability/src/metrics.ts
@@ -28,7 +28,7 @@
 export enum DocumentVerdict {
   Used = 'used',
   /** A key of another writer, or of a kind that this host does not know. */
-  NoConcern = 'no-concern',
+  Unrelated = 'no-concern',
   /** Names a group that the configuration in force does not hold; used once one does. */
   Unconfigured = 'unconfigured',
   Unreadable = 'unreadable',
@@ -45,7 +45,7 @@
 }
 
 /** What showed that an upstream has started anew under its id. */
-export enum BirthEvidence {
+export enum RestartEvidence {
   /** Its entry tells another birth. */
   Entry = 'entry',
   /** A primary told a position behind one that it had told under the same epoch. */
@@ -86,7 +86,7 @@
     registers: [this.registry],
   });
 
-  readonly limitsAlone = new Counter({
+  readonly localLimitDecisions = new Counter({
     name: 'gladespool_limits_alone_total',
     help: "Operations judged without the host that keeps their workspace's allowance",
     registers: [this.registry],
@@ -132,7 +132,7 @@
     registers: [this.registry],
   });
 
-  readonly upstreamsBornAnew = new Counter({
+  readonly upstreamRestarts = new Counter({
     name: 'gladespool_upstreams_born_anew_total',
     help: 'Signs that an upstream has started anew under its id, by what showed it',
     labelNames: ['evidence'],
@@ -158,7 +158,7 @@
     registers: [this.registry],
   });
 
-  readonly storeReturns = new Counter({
+  readonly storeRestores = new Counter({
     name: 'gladespool_store_returns_total',
     help: 'Times at which this host learnt that the metadata store had come back from a copy',
     registers: [this.registry],
@@ -216,8 +216,8 @@
     for (const distance of Object.values(DISTANCE_LABELS)) this.peerBytes.inc({ distance }, 0);
     for (const servedBy of Object.values(ServedBy)) this.statements.inc({ served_by: servedBy }, 0);
     for (const verdict of Object.values(DocumentVerdict)) this.storeDocuments.inc({ verdict }, 0);
-    for (const evidence of Object.values(BirthEvidence))
-      this.upstreamsBornAnew.inc({ evidence }, 0);
+    for (const evidence of Object.values(RestartEvidence))
+      this.upstreamRestarts.inc({ evidence }, 0);
     for (const evidence of Object.values(DepositionEvidence))
       this.primariesDeposed.inc({ evidence }, 0);
     for (const fault of Object.values(CallerFault)) this.callerFaults.inc({ fault }, 0);
--- a/packages/operator/src/main.ts
+++ b/packages/operator/src/main.ts
@@ -2,7 +2,7 @@
 /**
  * The `gladespoolctl` command.
  */
-import { endOnClosedPipe } from '@gladespool/observability';
+import { exitOnClosedPipe } from '@gladespool/observability';
 import { Builtins, Cli } from 'clipanion';
 import {
   BundleCheckCommand,
@@ -13,7 +13,7 @@
 } from './commands/bundle-commands.js';
 import { KeysNewCommand } from './commands/keys-new-command.js';
 
-endOnClosedPipe(process.stdout);
+exitOnClosedPipe(process.stdout);
 const cli = new Cli({
   binaryLabel: "gladespoolctl, the operators' command of gladespool",
   binaryName: 'gladespoolctl',
--- a/packages/peers/src/peer-link.ts
+++ b/packages/peers/src/peer-link.ts
@@ -7,14 +7,14 @@
 import { gladespoolError, Step } from '@gladespool/coordination';
 import type { Frame, FrameOf } from '@gladespool/protocol';
 import {
-  checkProof,
+  verifyProof,
   createNonce,
   encodeFrame,
   FrameDecoder,
   FrameKind,
   HandshakeSide,
   PEER_PROTOCOL_VERSION,
-  proveKey,
+  createProof,
 } from '@gladespool/protocol';
 
 /** Identity and key with which a host opens links. */
@@ -34,7 +34,7 @@
 }
 
 /** Counts bytes that were sent to a host of a zone. */
-export type SentBytesCount = (bytes: number, az: string) => void;
+export type SentBytesCounter = (bytes: number, az: string) => void;
 
 /** Options of a link. */
 export interface PeerLinkOptions {
@@ -46,14 +46,14 @@
   /** Counts bytes sent that don't belong to callers' requests. */
   readonly onControlBytes: (bytes: number) => void;
   /** Counts all bytes sent once the other host has told its zone; unset where nobody counts them. */
-  readonly onSentBytes?: SentBytesCount | undefined;
+  readonly onSentBytes?: SentBytesCounter | undefined;
 }
 
 const REQUEST_KINDS: ReadonlySet<FrameKind> = new Set([
   FrameKind.Abandon,
   FrameKind.Answer,
   FrameKind.Cancel,
-  FrameKind.ForwardAsk,
+  FrameKind.ForwardRequest,
   FrameKind.ForwardReply,
   FrameKind.ForwardRollback,
   FrameKind.Run,
@@ -172,7 +172,7 @@
     this.peerNonce = hello.nonce;
     const { host, az, key } = this.options.identity;
     const input = { host, dialerNonce: hello.nonce, listenerNonce: this.nonce };
-    const mac = proveKey(key, { ...input, side: HandshakeSide.Listener });
+    const mac = createProof(key, { ...input, side: HandshakeSide.Listener });
     const version = PEER_PROTOCOL_VERSION;
     this.write({ kind: FrameKind.Challenge, version, host, az, nonce: this.nonce, mac });
   }
@@ -186,13 +186,13 @@
     const { host, key } = this.options.identity;
     const nonces = { dialerNonce: this.nonce, listenerNonce: challenge.nonce };
     const claimed = { ...nonces, host: challenge.host, side: HandshakeSide.Listener };
-    if (!checkProof(key, claimed, challenge.mac)) {
+    if (!verifyProof(key, claimed, challenge.mac)) {
       this.end('listener does not hold the peer key');
       return;
     }
     this.remoteHost = challenge.host;
     this.remoteAz = challenge.az;
-    const mac = proveKey(key, { ...nonces, host, side: HandshakeSide.Dialer });
+    const mac = createProof(key, { ...nonces, host, side: HandshakeSide.Dialer });
     this.write({ kind: FrameKind.Proof, mac });
   }
 
@@ -205,7 +205,7 @@
       listenerNonce: this.nonce,
     };
     const expected = this.options.side === HandshakeSide.Listener && this.remoteHost !== '';
-    if (!expected || !checkProof(key, input, proof.mac)) {
+    if (!expected || !verifyProof(key, input, proof.mac)) {
       this.end('dialer does not hold the peer key');
       return;
     }
--- a/packages/peers/src/peer-network.ts
+++ b/packages/peers/src/peer-network.ts
@@ -11,7 +11,7 @@
 import { HandshakeSide } from '@gladespool/protocol';
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
-import type { LinkIdentity, SentBytesCount } from './peer-link.js';
+import type { LinkIdentity, SentBytesCounter } from './peer-link.js';
 import { PeerLink } from './peer-link.js';
 
 /** Where a peer listens. */
@@ -35,7 +35,7 @@
   /** Counts bytes sent that don't belong to callers' requests. */
   readonly onControlBytes: (bytes: number) => void;
   /** Counts all bytes sent, by the zone of the other host; unset where nobody counts them. */
-  readonly onSentBytes?: SentBytesCount;
+  readonly onSentBytes?: SentBytesCounter;
   readonly log: Logger;
 }
 
--- a/packages/pool/src/connection-pool.ts
+++ b/packages/pool/src/connection-pool.ts
@@ -2,15 +2,15 @@
  * Connections of one home to one upstream, within the home's part of the upstream's budget. A
  * connection serves one workspace for as long as it is open; where the budget is used up, the one
  * that nobody has used for longest is closed for another workspace. Who gets a connection is decided
- * in `waiting-order.ts`.
+ * in `wait-queue.ts`.
  */
 import type { GladespoolError, WorkspaceId } from '@gladespool/coordination';
 import type { Priority } from '@gladespool/coordination';
 import { RefusalReason, ConnectionAvailability } from '@gladespool/coordination';
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
-import type { Owner, Waiting } from './waiting-order.js';
-import { WaitingOrder } from './waiting-order.js';
+import type { Owner, WaitEntry } from './wait-queue.js';
+import { WaitQueue } from './wait-queue.js';
 
 /** What the pool needs of a connection. */
 export interface PoolConnection {
@@ -46,7 +46,7 @@
   readonly since: number;
 }
 
-interface Waiter<C extends PoolConnection> extends Waiting {
+interface Waiter<C extends PoolConnection> extends WaitEntry {
   /** When its caller stops waiting, local milliseconds. */
   readonly deadlineAt: number;
   readonly settle: (result: Result<Lease<C>, RefusalReason>) => void;
@@ -71,7 +71,7 @@
 export class ConnectionPool<C extends PoolConnection> {
   /** Connections that nobody uses, the one that was used latest last. */
   private readonly idle: Idle<C>[] = [];
-  private readonly waiting = new WaitingOrder<Waiter<C>>();
+  private readonly waiting = new WaitQueue<Waiter<C>>();
   /** Workspaces for which connections are being opened, one entry a connection. */
   private readonly dialing: Owner[] = [];
   private open = 0;
@@ -167,7 +167,7 @@
     return undefined;
   }
 
-  private enqueue(waiting: Waiting, timeoutMs: number): Promise<Result<Lease<C>, RefusalReason>> {
+  private enqueue(waiting: WaitEntry, timeoutMs: number): Promise<Result<Lease<C>, RefusalReason>> {
     return new Promise((resolve) => {
       const timer = setTimeout(() => {
         this.waiting.remove(waiter);
@@ -188,7 +188,7 @@
 
   private grow(): void {
     if (this.stopped || this.dialing.length >= MAX_CONNECTING) return;
-    const missing = this.waiting.firstWithout(this.dialing);
+    const missing = this.waiting.firstWithoutDial(this.dialing);
     if (missing === undefined || !this.hasRoom()) return;
     void this.connect(missing.owner);
   }
--- a/packages/pool/src/index.ts
+++ b/packages/pool/src/index.ts
@@ -1,2 +1,2 @@
 export * from './connection-pool.js';
-export * from './waiting-order.js';
+export * from './wait-queue.js';
--- a/packages/pool/src/waiting-order.ts
+++ b/packages/pool/src/wait-queue.ts
@@ -11,7 +11,7 @@
 export type Owner = WorkspaceId | undefined;
 
 /** Someone who waits. */
-export interface Waiting {
+export interface WaitEntry {
   readonly priority: Priority;
   readonly owner: Owner;
   /** When the wait began, local milliseconds. */
@@ -32,7 +32,7 @@
 const PATIENCE_MS = 25;
 
 /** Queue for connections to one upstream. */
-export class WaitingOrder<W extends Waiting> {
+export class WaitQueue<W extends WaitEntry> {
   private readonly waiters: W[] = [];
   private turns = 0;
 
@@ -75,7 +75,7 @@
    * The first of those waiting for whom no connection is being opened; `dialing` has an entry for each
    * that is, the workspace that it will serve.
    */
-  firstWithout(dialing: readonly Owner[]): W | undefined {
+  firstWithoutDial(dialing: readonly Owner[]): W | undefined {
     const coming = [...dialing];
     for (const priority of PRIORITY_ORDER) {
       for (const waiter of this.waiters) {
--- a/packages/pool/tests/waiting-order.steps.ts
+++ b/packages/pool/tests/wait-queue.steps.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { Priority, workspaceId } from '@gladespool/coordination';
-import type { Waiting } from '../src/index.js';
-import { WaitingOrder } from '../src/index.js';
+import type { WaitEntry } from '../src/index.js';
+import { WaitQueue } from '../src/index.js';
 
 interface OrderWorld {
-  order: WaitingOrder<Waiting>;
+  order: WaitQueue<WaitEntry>;
   now: number;
-  chosen: Waiting | undefined;
+  chosen: WaitEntry | undefined;
 }
 
 const CLASSES: ReadonlyMap<string, Priority> = new Map([
@@ -17,7 +17,7 @@
 ]);
 
 Given('waiters {string} at {int} ms', function (this: OrderWorld, waiters: string, now: number) {
-  this.order = new WaitingOrder();
+  this.order = new WaitQueue();
   this.now = now;
   for (const waiter of waiters.split(',')) {
     const [owner = '', name = '', since = ''] = waiter.split(':');
--- a/packages/protocol/src/config/bundle.ts
+++ b/packages/protocol/src/config/bundle.ts
@@ -18,7 +18,7 @@
 import { stringify } from 'ini';
 import type { Result } from 'neverthrow';
 import * as z from 'zod';
-import { base64Bytes, ipAddress, name, oneOf, port, whole } from './fields.js';
+import { base64Bytes, ipAddress, name, oneOf, port, integerBetween } from './fields.js';
 import type { OperatorKey } from './host-settings.js';
 import type { ConfigFault, NestedSection } from './ini-document.js';
 import { IniDocument } from './ini-document.js';
@@ -32,16 +32,16 @@
 const HASH_LENGTH = 32;
 
 const headSection = z.strictObject({
-  version: whole(1, Number.MAX_SAFE_INTEGER),
-  base: whole(0, Number.MAX_SAFE_INTEGER),
-  threshold: whole(1, 16).default(1),
+  version: integerBetween(1, Number.MAX_SAFE_INTEGER),
+  base: integerBetween(0, Number.MAX_SAFE_INTEGER),
+  threshold: integerBetween(1, 16).default(1),
 });
 
 const operatorSection = z.strictObject({ key: base64Bytes(PUBLIC_KEY_BYTES) });
 
 const groupSection = z.strictObject({
-  connections_per_upstream: whole(1, 10_000).default(DEFAULT_CONNECTIONS),
-  max_age_ms: whole(0, 86_400_000).default(0),
+  connections_per_upstream: integerBetween(1, 10_000).default(DEFAULT_CONNECTIONS),
+  max_age_ms: integerBetween(0, 86_400_000).default(0),
   acknowledgement: oneOf([AcknowledgementKind.Majority, AcknowledgementKind.PrimaryCommit]).default(
     AcknowledgementKind.Majority,
   ),
@@ -251,7 +251,7 @@
 }
 
 /** Whether a host of `az` needs a part. */
-export function concernsZone(part: ListedPart, az: string): boolean {
+export function isNeededInZone(part: ListedPart, az: string): boolean {
   return part.zones === ALL_ZONES || part.zones.split(',').includes(az);
 }
 
--- a/packages/protocol/src/config/fields.ts
+++ b/packages/protocol/src/config/fields.ts
@@ -8,7 +8,7 @@
 const NAME = /^[A-Za-z0-9_-]{1,63}$/;
 
 /** Whole number in a range. */
-export function whole(low: number, high: number): z.ZodType<number, string | number> {
+export function integerBetween(low: number, high: number): z.ZodType<number, string | number> {
   const message = `whole number from ${low} to ${high}`;
   return z.coerce
     .number({ error: message })
@@ -18,7 +18,7 @@
 }
 
 /** Port to listen on; 0 chooses a free one. */
-export const port = whole(0, MAX_PORT);
+export const port = integerBetween(0, MAX_PORT);
 
 /** IP address. */
 export const ipAddress = z
--- a/packages/protocol/src/config/host-settings.ts
+++ b/packages/protocol/src/config/host-settings.ts
@@ -6,7 +6,7 @@
 import type { Result } from 'neverthrow';
 import * as z from 'zod';
 import type { TokenKey } from '../session-token.js';
-import { base64Bytes, ipAddress, name, port, whole } from './fields.js';
+import { base64Bytes, ipAddress, name, port, integerBetween } from './fields.js';
 import type { ConfigFault } from './ini-document.js';
 import { IniDocument } from './ini-document.js';
 
@@ -30,50 +30,72 @@
 const storeSection = z.strictObject({
   address: ipAddress.default('127.0.0.1').describe("IP address of the platform's store."),
   port: port.default(2379).describe("Port of the platform's store."),
-  timeout_ms: whole(10, 60_000).default(2000).describe('Longest wait for the store, ms.'),
+  timeout_ms: integerBetween(10, 60_000).default(2000).describe('Longest wait for the store, ms.'),
 });
 
 const hostListSection = z.strictObject({
   address: ipAddress.default('127.0.0.1').describe("IP address of the platform's host list."),
   port: port.default(2379).describe("Port of the platform's host list."),
-  interval_ms: whole(100, 600_000).default(10_000).describe('How often the list is read, ms.'),
+  interval_ms: integerBetween(100, 600_000)
+    .default(10_000)
+    .describe('How often the list is read, ms.'),
 });
 
 const peerSection = z.strictObject({
   key: base64Bytes(MIN_KEY_BYTES).describe('Shared key that hosts prove to each other, base64.'),
-  heartbeat_ms: whole(20, 60_000).default(1000).describe('Heartbeat interval to relays, ms.'),
-  expire_ms: whole(60, 600_000)
+  heartbeat_ms: integerBetween(20, 60_000)
+    .default(1000)
+    .describe('Heartbeat interval to relays, ms.'),
+  expire_ms: integerBetween(60, 600_000)
     .default(3500)
     .describe('A host not heard of for so long counts as gone, ms.'),
-  homes_per_group: whole(1, 16).default(2).describe('Hosts of a zone that hold a group.'),
-  relays: whole(1, 8).default(2).describe('Hosts of a zone that hold the watches on the store.'),
+  homes_per_group: integerBetween(1, 16).default(2).describe('Hosts of a zone that hold a group.'),
+  relays: integerBetween(1, 8)
+    .default(2)
+    .describe('Hosts of a zone that hold the watches on the store.'),
 });
 
 const upstreamSection = z.strictObject({
   user: z.string({ error: 'user name' }).default('gladespool').describe('User on upstreams.'),
   password: z.string({ error: 'password' }).describe('Password on upstreams.'),
-  connect_timeout_ms: whole(10, 60_000).default(1000).describe('Longest connect time, ms.'),
-  status_interval_ms: whole(5, 60_000).default(500).describe('Time between status queries, ms.'),
-  status_timeout_ms: whole(5, 60_000).default(500).describe('Longest wait for a status, ms.'),
-  suspect_after_ms: whole(10, 600_000)
+  connect_timeout_ms: integerBetween(10, 60_000)
+    .default(1000)
+    .describe('Longest connect time, ms.'),
+  status_interval_ms: integerBetween(5, 60_000)
+    .default(500)
+    .describe('Time between status queries, ms.'),
+  status_timeout_ms: integerBetween(5, 60_000)
+    .default(500)
+    .describe('Longest wait for a status, ms.'),
+  suspect_after_ms: integerBetween(10, 600_000)
     .default(1000)
     .describe('Writes not confirmable for so long make the primary suspect, ms.'),
-  ledger_keep_ms: whole(1000, 30 * DAY_MS)
+  ledger_keep_ms: integerBetween(1000, 30 * DAY_MS)
     .default(DAY_MS)
     .describe('Time for which ids of requests that run at most once are kept, ms.'),
 });
 
 const callerSection = z.strictObject({
-  default_deadline_ms: whole(1, 300_000)
+  default_deadline_ms: integerBetween(1, 300_000)
     .default(5000)
     .describe('Deadline of unmarked requests, ms.'),
-  login_timeout_ms: whole(10, 600_000).default(10_000).describe('Longest login, ms.'),
-  max_callers: whole(1, 1_000_000).default(20_000).describe('Caller connections at most.'),
-  max_message_bytes: whole(1024, 16_777_216).default(1_048_576).describe('Largest message, bytes.'),
-  max_answer_bytes: whole(1024, 16_777_216).default(8_388_608).describe('Largest answer, bytes.'),
-  max_waiting: whole(1, 100_000).default(200).describe('Requests that wait per upstream at most.'),
-  replica_wait_ms: whole(0, 10_000).default(20).describe('Longest wait for a replica, ms.'),
-  drain_ms: whole(0, DAY_MS).default(30_000).describe('Longest time to finish work on a stop, ms.'),
+  login_timeout_ms: integerBetween(10, 600_000).default(10_000).describe('Longest login, ms.'),
+  max_callers: integerBetween(1, 1_000_000).default(20_000).describe('Caller connections at most.'),
+  max_message_bytes: integerBetween(1024, 16_777_216)
+    .default(1_048_576)
+    .describe('Largest message, bytes.'),
+  max_answer_bytes: integerBetween(1024, 16_777_216)
+    .default(8_388_608)
+    .describe('Largest answer, bytes.'),
+  max_waiting: integerBetween(1, 100_000)
+    .default(200)
+    .describe('Requests that wait per upstream at most.'),
+  replica_wait_ms: integerBetween(0, 10_000)
+    .default(20)
+    .describe('Longest wait for a replica, ms.'),
+  drain_ms: integerBetween(0, DAY_MS)
+    .default(30_000)
+    .describe('Longest time to finish work on a stop, ms.'),
   tls_key_file: z.string().optional().describe('Private key file; unset refuses TLS.'),
   tls_cert_file: z.string().optional().describe('Certificate file; unset refuses TLS.'),
 });
@@ -87,7 +109,7 @@
 });
 
 const trustSection = z.strictObject({
-  threshold: whole(1, 16).default(1).describe('Signatures that the first bundle needs.'),
+  threshold: integerBetween(1, 16).default(1).describe('Signatures that the first bundle needs.'),
 });
 
 const operatorSection = z.strictObject({
--- a/packages/protocol/src/json-text.ts
+++ b/packages/protocol/src/json-text.ts
@@ -41,7 +41,7 @@
 const LOST_BYTES = '\uFFFD';
 
 /** Like `parseJson`, for a text that any writer may have stored: size and depth are checked before it is parsed. */
-export function parseStored<Schema extends z.ZodType>(
+export function parseUntrustedJson<Schema extends z.ZodType>(
   schema: Schema,
   text: string,
   maxChars: number,
--- a/packages/protocol/src/peer/frame.ts
+++ b/packages/protocol/src/peer/frame.ts
@@ -28,36 +28,36 @@
   Cancel = 'cancel',
   Abandon = 'abandon',
   Heartbeat = 'heartbeat',
-  News = 'news',
-  PartAsk = 'part-ask',
+  Updates = 'news',
+  PartRequest = 'part-ask',
   PartReply = 'part-reply',
-  SuspicionAsk = 'suspicion-ask',
+  SuspicionRequest = 'suspicion-ask',
   SuspicionReply = 'suspicion-reply',
-  RecordNews = 'record-news',
-  SyncAsk = 'sync-ask',
+  RecordUpdate = 'record-news',
+  SyncRequest = 'sync-ask',
   SyncReply = 'sync-reply',
-  DocumentsAsk = 'documents-ask',
+  DocumentsRequest = 'documents-ask',
   DocumentsReply = 'documents-reply',
-  StoreNews = 'store-news',
-  RoundAsk = 'round-ask',
-  RoundAnswers = 'round-answers',
-  RevokeAsk = 'revoke-ask',
+  StoreUpdate = 'store-news',
+  RoundRequest = 'round-ask',
+  RoundReplies = 'round-answers',
+  RevokeRequest = 'revoke-ask',
   RevokeReply = 'revoke-reply',
-  HoldAsk = 'hold-ask',
+  HoldRequest = 'hold-ask',
   HoldReply = 'hold-reply',
-  ReachAsk = 'reach-ask',
-  ReachReply = 'reach-reply',
-  PingAsk = 'ping-ask',
+  ReachabilityRequest = 'reach-ask',
+  ReachabilityReply = 'reach-reply',
+  PingRequest = 'ping-ask',
   PingReply = 'ping-reply',
-  MissedAsk = 'missed-ask',
-  MissedReply = 'missed-reply',
-  RenewAsk = 'renew-ask',
+  IndirectPingRequest = 'missed-ask',
+  IndirectPingReply = 'missed-reply',
+  RenewRequest = 'renew-ask',
   RenewReply = 'renew-reply',
-  AllowanceAsk = 'allowance-ask',
+  AllowanceRequest = 'allowance-ask',
   AllowanceReply = 'allowance-reply',
-  MarkAsk = 'mark-ask',
-  MarkReply = 'mark-reply',
-  ForwardAsk = 'forward-ask',
+  WatermarkRequest = 'mark-ask',
+  WatermarkReply = 'mark-reply',
+  ForwardRequest = 'forward-ask',
   ForwardReply = 'forward-reply',
   ForwardRollback = 'forward-rollback',
 }
@@ -192,20 +192,20 @@
 const id = z.int().nonnegative();
 
 const renewAskSchema = z.object({
-  kind: z.literal(FrameKind.RenewAsk),
+  kind: z.literal(FrameKind.RenewRequest),
   id,
   host: z.string(),
   incarnation: count,
 });
 
 const revokeAskSchema = z.object({
-  kind: z.literal(FrameKind.RevokeAsk),
+  kind: z.literal(FrameKind.RevokeRequest),
   id,
   item: storeItemSchema,
 });
 
 const holdAskSchema = z.object({
-  kind: z.literal(FrameKind.HoldAsk),
+  kind: z.literal(FrameKind.HoldRequest),
   id,
   group: z.string(),
   epoch: count,
@@ -272,7 +272,7 @@
     heardOf: count,
   }),
   z.object({
-    kind: z.literal(FrameKind.News),
+    kind: z.literal(FrameKind.Updates),
     incarnation: count,
     upTo: count,
     members: z.array(memberSchema),
@@ -280,10 +280,10 @@
     /** Head of a bundle, as {@link encodeHead} wrote it. */
     bundle: z.string().optional(),
   }),
-  z.object({ kind: z.literal(FrameKind.PartAsk), hashes: z.array(z.string()) }),
+  z.object({ kind: z.literal(FrameKind.PartRequest), hashes: z.array(z.string()) }),
   z.object({ kind: z.literal(FrameKind.PartReply), parts: z.array(partSchema) }),
   z.object({
-    kind: z.literal(FrameKind.SuspicionAsk),
+    kind: z.literal(FrameKind.SuspicionRequest),
     id,
     group: z.string(),
     term: count,
@@ -293,9 +293,9 @@
     id,
     suspects: z.boolean(),
   }),
-  z.object({ kind: z.literal(FrameKind.RecordNews), record: recordSchema }),
+  z.object({ kind: z.literal(FrameKind.RecordUpdate), record: recordSchema }),
   z.object({
-    kind: z.literal(FrameKind.SyncAsk),
+    kind: z.literal(FrameKind.SyncRequest),
     id,
     host: z.string(),
     incarnation: count,
@@ -325,7 +325,7 @@
     proof: passedProofSchema.optional(),
   }),
   z.object({
-    kind: z.literal(FrameKind.DocumentsAsk),
+    kind: z.literal(FrameKind.DocumentsRequest),
     id,
     /** Position of the store up to which the asker is complete. */
     position: storePositionSchema,
@@ -340,13 +340,13 @@
     /** See `packDocuments`. */
     packed: bytes,
   }),
-  z.object({ kind: z.literal(FrameKind.StoreNews), items: z.array(storeItemSchema) }),
+  z.object({ kind: z.literal(FrameKind.StoreUpdate), items: z.array(storeItemSchema) }),
   revokeAskSchema,
   z.object({ kind: z.literal(FrameKind.RevokeReply), id }),
   holdAskSchema,
   /** Asks the receiver to ask the other hosts of its zone. */
   z.object({
-    kind: z.literal(FrameKind.RoundAsk),
+    kind: z.literal(FrameKind.RoundRequest),
     /** Number that the asker gave the round. */
     round: count,
     /** Time for which answers are passed on, milliseconds. */
@@ -355,7 +355,7 @@
   }),
   /** Answers of hosts of the sender's zone; a round has several such frames. */
   z.object({
-    kind: z.literal(FrameKind.RoundAnswers),
+    kind: z.literal(FrameKind.RoundReplies),
     round: count,
     answers: z.array(z.object({ host: z.string(), incarnation: count })),
     /** Documents that came with the answers, the newest version of each. */
@@ -364,18 +364,18 @@
     done: z.boolean(),
   }),
   z.object({ kind: z.literal(FrameKind.HoldReply), id }),
-  z.object({ kind: z.literal(FrameKind.ReachAsk), id, group: z.string(), epoch: count }),
+  z.object({ kind: z.literal(FrameKind.ReachabilityRequest), id, group: z.string(), epoch: count }),
   z.object({
-    kind: z.literal(FrameKind.ReachReply),
+    kind: z.literal(FrameKind.ReachabilityReply),
     id,
     /** Missing while the primary accepts connections of the sender and serves none. */
     reaches: z.boolean().optional(),
   }),
-  z.object({ kind: z.literal(FrameKind.PingAsk), id }),
+  z.object({ kind: z.literal(FrameKind.PingRequest), id }),
   z.object({ kind: z.literal(FrameKind.PingReply), id }),
   /** Asks whether the receiver reaches a host that is silent to the sender. */
-  z.object({ kind: z.literal(FrameKind.MissedAsk), id, host: z.string() }),
-  z.object({ kind: z.literal(FrameKind.MissedReply), id, reached: z.boolean() }),
+  z.object({ kind: z.literal(FrameKind.IndirectPingRequest), id, host: z.string() }),
+  z.object({ kind: z.literal(FrameKind.IndirectPingReply), id, reached: z.boolean() }),
   renewAskSchema,
   z.object({
     kind: z.literal(FrameKind.RenewReply),
@@ -387,7 +387,7 @@
   }),
   /** Asks the host that keeps a workspace's allowance for operations that may begin. */
   z.object({
-    kind: z.literal(FrameKind.AllowanceAsk),
+    kind: z.literal(FrameKind.AllowanceRequest),
     id,
     workspace: z.string(),
     wanted: count,
@@ -402,15 +402,15 @@
     retryAfterMs: count,
   }),
   /** Asks where a group's primary stood of late, as the receiver saw it under `epoch`. */
-  z.object({ kind: z.literal(FrameKind.MarkAsk), id, group: z.string(), epoch: count }),
+  z.object({ kind: z.literal(FrameKind.WatermarkRequest), id, group: z.string(), epoch: count }),
   z.object({
-    kind: z.literal(FrameKind.MarkReply),
+    kind: z.literal(FrameKind.WatermarkReply),
     id,
     /** Missing where the receiver has none of that epoch. */
     mark: z.object({ position: positionSchema, ageMs: z.number().nonnegative() }).optional(),
   }),
   z.object({
-    kind: z.literal(FrameKind.ForwardAsk),
+    kind: z.literal(FrameKind.ForwardRequest),
     id,
     operation: z.enum(ForwardOperation),
     /** Id that the caller gave the statement. */
--- a/packages/protocol/src/peer/handshake.ts
+++ b/packages/protocol/src/peer/handshake.ts
@@ -26,7 +26,7 @@
 }
 
 /** Proof that `host` holds `key`. */
-export function proveKey(key: Buffer, input: ProofInput): Buffer {
+export function createProof(key: Buffer, input: ProofInput): Buffer {
   const hmac = createHmac('sha256', key);
   hmac.update(`${input.side}|${input.host}|`);
   hmac.update(input.dialerNonce);
@@ -35,7 +35,7 @@
 }
 
 /** Checks a proof in constant time. */
-export function checkProof(key: Buffer, input: ProofInput, proof: Uint8Array): boolean {
-  const expected = proveKey(key, input);
+export function verifyProof(key: Buffer, input: ProofInput, proof: Uint8Array): boolean {
+  const expected = createProof(key, input);
   return proof.length === expected.length && timingSafeEqual(expected, proof);
 }
--- a/packages/protocol/src/peer/record-frame.ts
+++ b/packages/protocol/src/peer/record-frame.ts
@@ -7,7 +7,7 @@
 import type { recordSchema } from './frame.js';
 
 /** A checked record with its names branded. */
-export function recordOf(record: z.infer<typeof recordSchema>): GroupRecord {
+export function toGroupRecord(record: z.infer<typeof recordSchema>): GroupRecord {
   return {
     ...record,
     group: groupId(record.group),
--- a/packages/protocol/src/pg/backend-message.ts
+++ b/packages/protocol/src/pg/backend-message.ts
@@ -55,7 +55,7 @@
 }
 
 /** A message without a body. */
-export function encodeBare(type: BackendType): Buffer {
+export function encodeWithoutBody(type: BackendType): Buffer {
   return Buffer.from(new Writer().flush(type));
 }
 
--- a/packages/protocol/src/pg/login.ts
+++ b/packages/protocol/src/pg/login.ts
@@ -48,7 +48,7 @@
   /** Time allowed from accept to login, milliseconds. */
   readonly timeoutMs: number;
   /** Parameters reported after login. */
-  readonly report: ReadonlyMap<string, string>;
+  readonly reportedParameters: ReadonlyMap<string, string>;
   /** Delays or refuses a login once its parameters are known; an error ends the connection. */
   readonly admit?: (parameters: ReadonlyMap<string, string>) => Promise<ErrorFields | undefined>;
   readonly onLogin: (info: LoginInfo) => void;
@@ -118,7 +118,7 @@
     const user = parameters.get('user') ?? '';
     const key = { processId: randomInt(1, SECRET_LIMIT), secret: randomInt(0, SECRET_LIMIT) };
     this.sendAuthenticationOk();
-    const reports = [...this.login.report].map(([name, value]) =>
+    const reports = [...this.login.reportedParameters].map(([name, value]) =>
       encodeParameterStatus(name, value),
     );
     this.sendData(Buffer.concat([...reports, keyData(key), encodeReady(TransactionStatus.Idle)]));
--- a/packages/protocol/src/store-keys.ts
+++ b/packages/protocol/src/store-keys.ts
@@ -5,13 +5,13 @@
 import * as z from 'zod';
 import { readJson } from './json-text.js';
 import { recordSchema } from './peer/frame.js';
-import { recordOf } from './peer/record-frame.js';
+import { toGroupRecord } from './peer/record-frame.js';
 
 /** Prefix of everything that relays watch. */
-export const ROOT_PREFIX = '/gladespool/state/';
+export const WATCHED_PREFIX = '/gladespool/state/';
 /** Head of the bundle in force. */
-export const BUNDLE_HEAD_KEY = `${ROOT_PREFIX}bundle`;
-const RECORD_PREFIX = `${ROOT_PREFIX}group/`;
+export const BUNDLE_HEAD_KEY = `${WATCHED_PREFIX}bundle`;
+const RECORD_PREFIX = `${WATCHED_PREFIX}group/`;
 const STATUS_PREFIX = '/gladespool/status/';
 const PART_PREFIX = '/gladespool/part/';
 
@@ -71,5 +71,5 @@
 /** Decodes a record; undefined when it is malformed. */
 export function decodeRecord(text: string): GroupRecord | undefined {
   const record = readJson(recordSchema, text);
-  return record === undefined ? undefined : recordOf(record);
+  return record === undefined ? undefined : toGroupRecord(record);
 }
--- a/packages/protocol/tests/decoders.steps.ts
+++ b/packages/protocol/tests/decoders.steps.ts
@@ -138,7 +138,7 @@
       mac: fc.uint8Array({ minLength: 1, maxLength: 64 }),
     }),
     fc.record({
-      kind: fc.constant(FrameKind.SuspicionAsk as const),
+      kind: fc.constant(FrameKind.SuspicionRequest as const),
       id: fc.nat(),
       group: fc.string(),
       term: fc.nat(),
@@ -154,7 +154,7 @@
   'a forwarded read of {int} bytes of id takes fewer than {int} bytes and its answer fewer than {int} beside its rows',
   (idBytes: number, askBytes: number, answerBytes: number) => {
     const ask: Frame = {
-      kind: FrameKind.ForwardAsk,
+      kind: FrameKind.ForwardRequest,
       id: 12_345,
       operation: ForwardOperation.Run,
       request: 'a'.repeat(idBytes),
--- a/packages/proxy/src/control/bundle-service.ts
+++ b/packages/proxy/src/control/bundle-service.ts
@@ -6,7 +6,7 @@
 import type { HostMetrics, Logger } from '@gladespool/observability';
 import type { Bundle, BundleHead, Frame, Manifest, TrustRoot } from '@gladespool/protocol';
 import {
-  concernsZone,
+  isNeededInZone,
   decodeHead,
   FrameKind,
   hashPart,
@@ -130,7 +130,7 @@
   private async installOne(candidate: Candidate): Promise<void> {
     const { board, log } = this.options;
     for (const text of candidate.fresh) this.parts.set(hashPart(text), text);
-    const wanted = candidate.manifest.parts.filter((part) => concernsZone(part, board.az));
+    const wanted = candidate.manifest.parts.filter((part) => isNeededInZone(part, board.az));
     const hashes = wanted.map((part) => part.hash);
     const missing = hashes.filter((hash) => !this.parts.has(hash));
     if (missing.length > 0) await this.fetchParts(candidate, missing);
@@ -203,7 +203,7 @@
         resolve(texts);
       };
       this.waiting.push({ link, done });
-      if (!link.send({ kind: FrameKind.PartAsk, hashes: [...hashes] })) this.onLost(link);
+      if (!link.send({ kind: FrameKind.PartRequest, hashes: [...hashes] })) this.onLost(link);
     });
   }
 }
--- a/packages/proxy/src/control/membership-service.ts
+++ b/packages/proxy/src/control/membership-service.ts
@@ -14,7 +14,7 @@
 } from '@gladespool/coordination';
 import type { Logger } from '@gladespool/observability';
 import type { Frame, FrameOf } from '@gladespool/protocol';
-import { FrameKind, recordOf } from '@gladespool/protocol';
+import { FrameKind, toGroupRecord } from '@gladespool/protocol';
 import type { ListedHost } from '@gladespool/platform';
 import type { PeerHandler, PeerLink, PeerNetwork } from '@gladespool/peers';
 import { membersOf } from './news-frame.js';
@@ -128,7 +128,7 @@
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
-    if (frame.kind === FrameKind.News) this.takeNews(link, frame);
+    if (frame.kind === FrameKind.Updates) this.takeNews(link, frame);
   }
 
   onLost(link: PeerLink): void {
@@ -171,7 +171,7 @@
     return this.listed.find((entry) => entry.host === host);
   }
 
-  private takeNews(link: PeerLink, frame: FrameOf<FrameKind.News>): void {
+  private takeNews(link: PeerLink, frame: FrameOf<FrameKind.Updates>): void {
     const host = link.host as HostId;
     const now = performance.now();
     this.askedAt.delete(host);
@@ -183,7 +183,7 @@
       view.members.set(member.host, member);
       this.tellForeign(view, member);
     }
-    for (const record of frame.records) this.options.listener.onRecord(recordOf(record));
+    for (const record of frame.records) this.options.listener.onRecord(toGroupRecord(record));
     if (frame.bundle !== undefined) this.options.listener.onBundleHead(frame.bundle, link);
     if (frame.members.length > 0) this.publish();
   }
--- a/packages/proxy/src/control/news-frame.ts
+++ b/packages/proxy/src/control/news-frame.ts
@@ -7,13 +7,13 @@
 import { FrameKind } from '@gladespool/protocol';
 import type { News } from './news-board.js';
 
-type NewsFrame = FrameOf<FrameKind.News>;
+type NewsFrame = FrameOf<FrameKind.Updates>;
 
 /** Frame that carries news of the relay with this incarnation. */
 export function newsFrame(news: News, incarnation: number): NewsFrame {
   const { members, records, bundle, upTo } = news;
   const frame: NewsFrame = {
-    kind: FrameKind.News,
+    kind: FrameKind.Updates,
     incarnation,
     upTo,
     members: [...members],
--- a/packages/proxy/src/control/promotion-service.ts
+++ b/packages/proxy/src/control/promotion-service.ts
@@ -31,7 +31,13 @@
 import type { HostMetrics, Logger } from '@gladespool/observability';
 import type { PlatformStore } from '@gladespool/platform';
 import { SwapOutcome } from '@gladespool/platform';
-import { decodeRecord, encodeRecord, FrameKind, recordKey, recordOf } from '@gladespool/protocol';
+import {
+  decodeRecord,
+  encodeRecord,
+  FrameKind,
+  recordKey,
+  toGroupRecord,
+} from '@gladespool/protocol';
 import type { Frame } from '@gladespool/protocol';
 import { followSql } from '@gladespool/upstreams';
 import type { GroupHome } from '../home/group-home.js';
@@ -102,7 +108,7 @@
   }
 
   onFrame(_link: PeerLink, frame: Frame): void {
-    if (frame.kind === FrameKind.RecordNews) this.options.onRecord(recordOf(frame.record));
+    if (frame.kind === FrameKind.RecordUpdate) this.options.onRecord(toGroupRecord(frame.record));
   }
 
   onLost(): void {
@@ -273,7 +279,7 @@
   private announce(spec: GroupSpec, record: GroupRecord): void {
     this.options.onRecord(record);
     const news = {
-      kind: FrameKind.RecordNews,
+      kind: FrameKind.RecordUpdate,
       record: { ...record, lineage: [...record.lineage] },
     } as const;
     const { network } = this.options;
--- a/packages/proxy/src/control/relay-service.ts
+++ b/packages/proxy/src/control/relay-service.ts
@@ -65,7 +65,7 @@
 
   onFrame(link: PeerLink, frame: Frame): void {
     if (frame.kind === FrameKind.Heartbeat) this.takeBeat(link, frame);
-    if (frame.kind === FrameKind.PartAsk) this.answerParts(link, frame.hashes);
+    if (frame.kind === FrameKind.PartRequest) this.answerParts(link, frame.hashes);
   }
 
   onLost(link: PeerLink): void {
--- a/packages/proxy/src/control/store-relay.ts
+++ b/packages/proxy/src/control/store-relay.ts
@@ -10,7 +10,7 @@
   decodeRecord,
   isRecordKey,
   partKey,
-  ROOT_PREFIX,
+  WATCHED_PREFIX,
 } from '@gladespool/protocol';
 import type { PartFetch } from './bundle-service.js';
 
@@ -60,7 +60,7 @@
 
   private open(): void {
     this.retryTimer = undefined;
-    this.stopWatch = this.options.store.watch(ROOT_PREFIX, {
+    this.stopWatch = this.options.store.watch(WATCHED_PREFIX, {
       onOpen: () => {
         this.failures = 0;
         void this.readAll();
@@ -79,7 +79,7 @@
   /** Reads everything once the watch stands, so that nothing falls between. */
   private async readAll(): Promise<void> {
     const watch = this.stopWatch;
-    const values = await this.options.store.readPrefix(ROOT_PREFIX);
+    const values = await this.options.store.readPrefix(WATCHED_PREFIX);
     // A relay that was stopped meanwhile would open its watch again, for good.
     if (watch === undefined || this.stopWatch !== watch) return;
     if (values.isOk()) {
--- a/packages/proxy/src/control/suspicion-poll.ts
+++ b/packages/proxy/src/control/suspicion-poll.ts
@@ -31,7 +31,7 @@
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
-    if (frame.kind === FrameKind.SuspicionAsk) {
+    if (frame.kind === FrameKind.SuspicionRequest) {
       const suspects = this.ownOpinion(frame.group, frame.term);
       link.send({ kind: FrameKind.SuspicionReply, id: frame.id, suspects });
     }
@@ -58,7 +58,7 @@
       this.pending.set(id, (suspects) => {
         done({ az, suspects });
       });
-      const ask = { kind: FrameKind.SuspicionAsk, id, group, term } as const;
+      const ask = { kind: FrameKind.SuspicionRequest, id, group, term } as const;
       void this.network.sendTo(home, ask).then((sent) => {
         if (!sent) done(undefined);
       });
--- a/packages/proxy/src/entry/caller-server.ts
+++ b/packages/proxy/src/entry/caller-server.ts
@@ -125,7 +125,7 @@
       passwordOf: (user) => users.get(user),
       tls,
       timeoutMs: loginTimeoutMs,
-      report: REPORTED,
+      reportedParameters: REPORTED,
       admit: (parameters) => Promise.resolve(this.admit(parameters)),
       onLogin: (info) => {
         this.loggedIn.add(socket);
--- a/packages/proxy/src/entry/local-statement.ts
+++ b/packages/proxy/src/entry/local-statement.ts
@@ -5,7 +5,7 @@
 import type { FrontendMessage } from '@gladespool/protocol';
 import {
   BackendType,
-  encodeBare,
+  encodeWithoutBody,
   encodeCommandComplete,
   encodeDataRow,
   encodeParameterDescription,
@@ -64,9 +64,9 @@
     case FrontendType.Query:
       return Buffer.concat([describe(result, false), execute(result)]);
     case FrontendType.Parse:
-      return encodeBare(BackendType.ParseComplete);
+      return encodeWithoutBody(BackendType.ParseComplete);
     case FrontendType.Bind:
-      return encodeBare(BackendType.BindComplete);
+      return encodeWithoutBody(BackendType.BindComplete);
     case FrontendType.Describe:
       return message.target === TargetKind.Statement
         ? Buffer.concat([encodeParameterDescription(0), describe(result, true)])
@@ -74,7 +74,7 @@
     case FrontendType.Execute:
       return execute(result);
     case FrontendType.Close:
-      return encodeBare(BackendType.CloseComplete);
+      return encodeWithoutBody(BackendType.CloseComplete);
     case FrontendType.Sync:
     case FrontendType.Flush:
     case FrontendType.Terminate:
@@ -84,7 +84,7 @@
 
 function describe(result: LocalResult, extended: boolean): Buffer {
   if (result.column !== undefined) return encodeRowDescription([result.column]);
-  return extended ? encodeBare(BackendType.NoData) : Buffer.alloc(0);
+  return extended ? encodeWithoutBody(BackendType.NoData) : Buffer.alloc(0);
 }
 
 function execute(result: LocalResult): Buffer {
--- a/packages/proxy/src/main.ts
+++ b/packages/proxy/src/main.ts
@@ -2,12 +2,12 @@
 /**
  * The `gladespool` command.
  */
-import { endOnClosedPipe } from '@gladespool/observability';
+import { exitOnClosedPipe } from '@gladespool/observability';
 import { Builtins, Cli } from 'clipanion';
 import { RunCommand } from './commands/run-command.js';
 import { SettingsCheckCommand, SettingsShowCommand } from './commands/settings-command.js';
 
-endOnClosedPipe(process.stdout);
+exitOnClosedPipe(process.stdout);
 const cli = new Cli({
   binaryLabel: 'gladespool, database proxy with session consistency',
   binaryName: 'gladespool',
--- a/packages/standins/src/upstream/session.ts
+++ b/packages/standins/src/upstream/session.ts
@@ -4,7 +4,7 @@
 import type { Socket } from 'node:net';
 import {
   BackendType,
-  encodeBare,
+  encodeWithoutBody,
   encodeCommandComplete,
   encodeDataRow,
   encodeError,
@@ -116,7 +116,7 @@
   private async simpleQuery(sql: string): Promise<void> {
     try {
       const statements = parseSql(sql);
-      if (statements.length === 0) this.socket.write(encodeBare(BackendType.EmptyQuery));
+      if (statements.length === 0) this.socket.write(encodeWithoutBody(BackendType.EmptyQuery));
       for (const statement of statements) {
         const result = await this.executor.run(statement, []);
         this.executor.sync();
@@ -162,7 +162,7 @@
       case FrontendType.Close: {
         const target = readTarget(message);
         (target.isPortal ? this.portals : this.prepared).delete(target.name);
-        this.socket.write(encodeBare(BackendType.CloseComplete));
+        this.socket.write(encodeWithoutBody(BackendType.CloseComplete));
         return;
       }
       case FrontendType.Flush:
@@ -183,7 +183,7 @@
       parameterTypes: parse.types,
       parameterCount: Math.max(0, ...numbers),
     });
-    this.socket.write(encodeBare(BackendType.ParseComplete));
+    this.socket.write(encodeWithoutBody(BackendType.ParseComplete));
   }
 
   private bind(message: Buffer): void {
@@ -191,7 +191,7 @@
     const prepared = this.statement(bind.statement);
     const { parameters } = bind;
     this.portals.set(bind.portal, { prepared, parameters, result: undefined, fetched: 0 });
-    this.socket.write(encodeBare(BackendType.BindComplete));
+    this.socket.write(encodeWithoutBody(BackendType.BindComplete));
   }
 
   private describe(message: Buffer): void {
@@ -210,7 +210,7 @@
     const portal = this.portal(name);
     const [statement] = portal.prepared.statements;
     if (statement === undefined) {
-      this.socket.write(encodeBare(BackendType.EmptyQuery));
+      this.socket.write(encodeWithoutBody(BackendType.EmptyQuery));
       return;
     }
     const result = (portal.result ??= await this.executor.run(statement, portal.parameters));
@@ -219,7 +219,7 @@
     portal.fetched += rows.length;
     if (portal.fetched < result.rows.length) {
       this.socket.write(Buffer.concat(rows.map((row) => encodeDataRow(row))));
-      this.socket.write(encodeBare(BackendType.PortalSuspended));
+      this.socket.write(encodeWithoutBody(BackendType.PortalSuspended));
       return;
     }
     this.socket.write(encodeResult({ ...result, rows }, false));
@@ -227,7 +227,7 @@
 
   private describeRows(prepared: Prepared): Buffer {
     const [statement] = prepared.statements;
-    if (statement?.type !== 'select') return encodeBare(BackendType.NoData);
+    if (statement?.type !== 'select') return encodeWithoutBody(BackendType.NoData);
     return encodeRowDescription(columnsOf(statement, this.executor.node.tables));
   }
 
--- a/packages/standins/src/upstream/upstream-server.ts
+++ b/packages/standins/src/upstream/upstream-server.ts
@@ -98,7 +98,7 @@
       passwordOf: (user) => (user === this.options.user ? this.options.password : undefined),
       tls: undefined,
       timeoutMs: LOGIN_TIMEOUT_MS,
-      report: new Map([
+      reportedParameters: new Map([
         ['server_version', '16.0 (stand-in)'],
         ['client_encoding', 'UTF8'],
         ['standard_conforming_strings', 'on'],
