--- a/packages/gateway/src/control/control-plane.ts
+++ b/packages/gateway/src/control/control-plane.ts
@@ -10,11 +10,11 @@
 import { PeerNetwork } from '@gladespool/peers';
 import type { GatewayBoard, HostEntry } from '../knowledge/board.js';
 import type { HomeDirectory } from '../knowledge/home-directory.js';
-import type { ReachNotes } from '../knowledge/reach-notes.js';
+import type { ReachabilityReports } from '../knowledge/reachability-reports.js';
 import type { GatewayRules } from '../gateway-rules.js';
 import type { GroupHome } from '../home/group-home.js';
 import { UpstreamProbe } from '../home/upstream-probe.js';
-import type { UpstreamDriver } from '../model/upstream-wire.js';
+import type { UpstreamDriver } from '../model/upstream-driver.js';
 import { ClaimLock } from './promotion/claim-lock.js';
 import { DocumentExchange } from './store/document-exchange.js';
 import { DocumentReader } from './store/document-reader.js';
@@ -30,10 +30,10 @@
 import { PromotionController } from './promotion/promotion-controller.js';
 import { DEFAULT_PROOFS, ProofKeeper } from './proofs/proof-keeper.js';
 import { RecordFounder } from './promotion/record-founder.js';
-import { Registrar } from './store/registrar.js';
+import { HostRegistrar } from './store/registrar.js';
 import { RelayOrder } from '../knowledge/relay-order.js';
 import { DEFAULT_FOLLOWER, StoreFollower } from './store/store-follower.js';
-import type { ForeignDocuments } from './store/foreign-documents.js';
+import type { ForeignDocumentReader } from './store/foreign-documents.js';
 import { StoreView } from './store/store-view.js';
 import { SyncAnswers } from './proofs/sync-answers.js';
 import { SyncService } from './proofs/sync-service.js';
@@ -44,12 +44,12 @@
   readonly self: HostEntry;
   readonly board: GatewayBoard;
   readonly store: MetadataStore;
-  readonly documents: ForeignDocuments;
+  readonly documents: ForeignDocumentReader;
   readonly driver: UpstreamDriver;
   readonly promotions: PromotionPort;
   readonly holds: WriteHolds;
   readonly home: (group: GroupId) => GroupHome;
-  readonly reach: ReachNotes;
+  readonly reach: ReachabilityReports;
   readonly directory: HomeDirectory;
   readonly peerKey: Buffer;
   readonly seeds: readonly PeerAddress[];
@@ -71,7 +71,7 @@
   private readonly store: MetadataStore;
   private readonly order: RelayOrder;
   private readonly follower: StoreFollower;
-  private readonly registrar: Registrar;
+  private readonly registrar: HostRegistrar;
   private readonly proofs: ProofKeeper;
   private readonly founder: RecordFounder;
   private readonly documents: DocumentExchange;
@@ -101,7 +101,7 @@
     this.store = new GuardedStore(store, this.view, this.log);
     this.order = new RelayOrder(board);
     this.follower = this.createFollower();
-    this.registrar = new Registrar(self, board, this.store, this.log);
+    this.registrar = new HostRegistrar(self, board, this.store, this.log);
     this.proofs = this.createProofs();
     this.founder = new RecordFounder({
       board,
@@ -138,7 +138,7 @@
 
   /** Whether what the store shows of the gateway's own documents can be relied on. */
   get isStoreSettled(): boolean {
-    return this.view.hasRead && this.view.isSettled;
+    return this.view.hasLoaded && this.view.isEraSettled;
   }
 
   /** Listens for other hosts and begins to follow the store. */
@@ -156,7 +156,7 @@
     clearInterval(this.timer);
     this.probe.stop();
     this.sync.stop();
-    this.options.board.endProofs();
+    this.options.board.revokeProofs();
     await this.registrar.remove(timeoutMs);
     this.follower.setActive(false);
     await this.network.stop();
@@ -178,7 +178,7 @@
     this.renewer.tick(now);
     this.retirer.tick(now);
     this.opener.tick(now);
-    this.view.review(now);
+    this.view.expireDocuments(now);
     this.founder.tick(now);
     this.promotions.tick(now);
   }
@@ -252,7 +252,7 @@
     const readAgain = (): Promise<boolean> => proofs.read();
     return new EraOpener({
       ...{ self, board, view, store, order, round },
-      ...{ authority, readAgain, metrics, log },
+      ...{ authority, reloadOwnDocuments: readAgain, metrics, log },
     });
   }
 
--- a/packages/gateway/src/control/hosts/host-retirer.ts
+++ b/packages/gateway/src/control/hosts/host-retirer.ts
@@ -11,7 +11,7 @@
 import type { GatewayBoard, HostEntry } from '../../knowledge/board.js';
 import type { HostRound } from './host-round.js';
 import type { MetadataStore } from '../store/metadata-store.js';
-import { changeEnd, StorePurpose } from '../store/metadata-store.js';
+import { changeResultText, StorePurpose } from '../store/metadata-store.js';
 import type { PeerCalls } from '../../peering/peer-calls.js';
 import { hostKey } from '../store/store-documents.js';
 import type { StoreView } from '../store/store-view.js';
@@ -91,7 +91,7 @@
 
   private async answers(entry: HostEntry): Promise<boolean> {
     const build = (id: number) => ({ kind: FrameKind.PingRequest, id }) as const;
-    return (await this.options.calls.ask(entry, build, PING_TIMEOUT_MS)).isOk();
+    return (await this.options.calls.request(entry, build, PING_TIMEOUT_MS)).isOk();
   }
 
   private async consider(entry: HostEntry, now: number): Promise<void> {
@@ -111,14 +111,16 @@
     const others = round.others.filter((entry) => entry.host !== silent.host);
     const ask = (id: number) =>
       ({ kind: FrameKind.IndirectPingRequest, id, host: silent.host }) as const;
-    const answers = await Promise.all(others.map((other) => calls.ask(other, ask, ASK_TIMEOUT_MS)));
+    const answers = await Promise.all(
+      others.map((other) => calls.request(other, ask, ASK_TIMEOUT_MS)),
+    );
     const told = answers.map((answer) =>
       answer.isOk() && answer.value.kind === FrameKind.IndirectPingReply
         ? answer.value.reached
         : undefined,
     );
     return {
-      listed: board.listedHosts,
+      listed: board.listedHostCount,
       missing: 1 + told.filter((reached) => reached === false).length,
       reaching: told.filter((reached) => reached === true).length,
     };
@@ -131,7 +133,7 @@
     const conditions = [view.conditionOn(key)];
     const change = { conditions, writes: [], removals: [key] };
     const result = await store.change(change, StorePurpose.Register, WRITE_TIMEOUT_MS);
-    log.info('host-retired', { retired: entry.host, result: changeEnd(result) });
+    log.info('host-retired', { retired: entry.host, result: changeResultText(result) });
   }
 
   private async answerMissed(
--- a/packages/gateway/src/control/hosts/host-round.ts
+++ b/packages/gateway/src/control/hosts/host-round.ts
@@ -30,7 +30,7 @@
 export interface HostRoundOptions {
   readonly board: GatewayBoard;
   readonly order: RelayOrder;
-  readonly calls: Pick<PeerCalls, 'ask' | 'tell' | 'isReachable'>;
+  readonly calls: Pick<PeerCalls, 'request' | 'notify' | 'isReachable'>;
 }
 
 /** Hosts of a zone up to which each is asked directly: one link more is cheaper than one way more. */
@@ -66,7 +66,7 @@
   /** Other hosts on the list that can't be asked, since their entries can't be read; they may hold proofs. */
   get unknown(): readonly HostId[] {
     const { board } = this.options;
-    return [...board.unknownHosts].filter((host) => host !== board.host);
+    return [...board.unreadableHosts].filter((host) => host !== board.host);
   }
 
   /**
@@ -100,7 +100,7 @@
   tellAll(frame: FrameOf<FrameKind.StoreUpdate>): void {
     const zones = [...new Set(this.others.map((entry) => entry.az))];
     for (const entry of zones.flatMap((az) => this.toldFirst(az))) {
-      void this.options.calls.tell(entry, frame);
+      void this.options.calls.notify(entry, frame);
     }
   }
 
@@ -163,7 +163,11 @@
     timeoutMs: number,
     take: Take,
   ): Promise<void> {
-    const result = await this.options.calls.ask(entry, (id) => ({ ...question, id }), timeoutMs);
+    const result = await this.options.calls.request(
+      entry,
+      (id) => ({ ...question, id }),
+      timeoutMs,
+    );
     if (result.isErr()) return;
     const { host, incarnation } = entry;
     const reply = result.value;
@@ -189,7 +193,7 @@
       const timer = setTimeout(end, timeoutMs);
       this.open.set(round, { take, end });
       const ask = { kind: FrameKind.RoundRequest, round, waitMs: timeoutMs, question } as const;
-      void this.options.calls.tell(entry, ask);
+      void this.options.calls.notify(entry, ask);
     });
   }
 
--- a/packages/gateway/src/control/promotion/promotion-attempt.ts
+++ b/packages/gateway/src/control/promotion/promotion-attempt.ts
@@ -15,7 +15,7 @@
 } from '@gladespool/coordination';
 import { FrameKind } from '@gladespool/protocol';
 import type { StoreItem } from '../store/metadata-store.js';
-import { changeEnd, StorePurpose } from '../store/metadata-store.js';
+import { changeResultText, StorePurpose } from '../store/metadata-store.js';
 import { PromotionCause } from './promotion-cause.js';
 import type { PromotionContext } from './promotion-context.js';
 import { PromotionLog } from './promotion-log.js';
@@ -147,7 +147,7 @@
     const question = { kind: FrameKind.HoldRequest, id: 0, group, epoch, holdMs: HOLD_MS } as const;
     const others = this.ctx.round.askAll(question, HOLD_MS + HOLD_ANSWER_MS);
     const [answered] = await Promise.all([others, own]);
-    return isMajority(1 + answered.size, this.ctx.board.listedHosts);
+    return isMajority(1 + answered.size, this.ctx.board.listedHostCount);
   }
 
   /** Claims the record and the duty, once this host's claims before it have ended. */
@@ -202,7 +202,7 @@
 
   /** When hosts that were taken off the list shortly before hold no proof any more. */
   private retiredHostsFreeAt(): number {
-    return proofsExpiredAt(this.ctx.view.hostLastGoneAt, this.ctx.authority);
+    return proofsExpiredAt(this.ctx.view.lastHostRemovalAt, this.ctx.authority);
   }
 
   /**
@@ -292,11 +292,11 @@
     if (result.isErr() || result.value.kind !== 'done') {
       await this.ctx.proofs.read();
       const step = record.phase === RecordPhase.Serving ? 'publish' : 'name';
-      this.giveUp(`${step}-${changeEnd(result)}`);
+      this.giveUp(`${step}-${changeResultText(result)}`);
       return undefined;
     }
     const item = { key, value, position: result.value.position };
-    view.takeItems([item], performance.now());
+    view.applyItems([item], performance.now());
     return item;
   }
 
--- a/packages/gateway/src/control/promotion/promotion-controller.ts
+++ b/packages/gateway/src/control/promotion/promotion-controller.ts
@@ -21,7 +21,7 @@
 import type { PeerHandler, PeerLink } from '@gladespool/peers';
 import type { Frame, FrameOf } from '@gladespool/protocol';
 import { FrameKind } from '@gladespool/protocol';
-import type { ReachNotes } from '../../knowledge/reach-notes.js';
+import type { ReachabilityReports } from '../../knowledge/reachability-reports.js';
 import type { UpstreamEntry } from '../../model/catalog.js';
 import { ActingHosts } from './acting-hosts.js';
 import type { PrimaryMonitor } from './primary-monitor.js';
@@ -35,7 +35,7 @@
 export interface PromotionControllerOptions {
   readonly context: PromotionContext;
   readonly monitor: PrimaryMonitor;
-  readonly reach: ReachNotes;
+  readonly reach: ReachabilityReports;
 }
 
 /** Causes on which the other hosts have to agree. */
@@ -104,8 +104,8 @@
     const { board, view } = context;
     const placeOf = this.acting.places(now);
     monitor.tick(now, (group) => placeOf(group) === 0);
-    if (board.draining || !view.hasRead || !board.hosts.has(board.host)) return;
-    if (!view.isSettled) return;
+    if (board.draining || !view.hasLoaded || !board.hosts.has(board.host)) return;
+    if (!view.isEraSettled) return;
     for (const record of board.allRecords) {
       if (board.isConfigured(record.group)) this.review(record, placeOf(record.group), now);
     }
@@ -205,7 +205,7 @@
     now: number,
   ): Occasion | undefined {
     const { view } = this.options.context;
-    if (!view.holdsAllUpTo(primaryKey(record.group))) return undefined;
+    if (!view.isCompleteUpTo(primaryKey(record.group))) return undefined;
     state.bornAnewSince ??= now;
     return { cause: PromotionCause.BornAnew, since: state.bornAnewSince };
   }
@@ -268,7 +268,7 @@
   /** Gives the former primary up, and says so only if the claim is what this host now holds. */
   private answerRevoke(link: PeerLink, ask: FrameOf<FrameKind.RevokeRequest>): void {
     const { view, board } = this.options.context;
-    view.takeItems([ask.item], performance.now());
+    view.applyItems([ask.item], performance.now());
     const claim = readOwnDocument(ask.item.key, ask.item.value);
     if (claim.verdict !== DocumentVerdict.Used || claim.document.kind !== 'primary') return;
     const { record } = claim.document;
@@ -288,7 +288,7 @@
     ask: FrameOf<FrameKind.ReachabilityRequest>,
   ): Promise<void> {
     this.leaveToOther(link.host as HostId, groupId(ask.group));
-    if (!this.options.context.view.hasRead) return;
+    if (!this.options.context.view.hasLoaded) return;
     const reaches = await this.options.monitor.reaches(groupId(ask.group));
     const answer = { kind: FrameKind.ReachabilityReply, id: ask.id } as const;
     link.send(reaches === undefined ? answer : { ...answer, reaches });
--- a/packages/gateway/src/control/promotion/reach-poll.ts
+++ b/packages/gateway/src/control/promotion/reach-poll.ts
@@ -61,7 +61,7 @@
     const { group, epoch } = record;
     const ask = (id: number) =>
       ({ kind: FrameKind.ReachabilityRequest, id, group, epoch }) as const;
-    const answer = await this.options.calls.ask(host, ask, REACH_TIMEOUT_MS);
+    const answer = await this.options.calls.request(host, ask, REACH_TIMEOUT_MS);
     const told = answer.isOk() && answer.value.kind === FrameKind.ReachabilityReply;
     return { host: host.host, reaches: told ? answer.value.reaches : undefined };
   }
--- a/packages/gateway/src/control/promotion/record-claimer.ts
+++ b/packages/gateway/src/control/promotion/record-claimer.ts
@@ -6,10 +6,10 @@
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 import type { StoreChange, StoreItem } from '../store/metadata-store.js';
-import { changeEnd, StorePurpose } from '../store/metadata-store.js';
+import { changeResultText, StorePurpose } from '../store/metadata-store.js';
 import type { PromotionContext } from './promotion-context.js';
 import type { PromotionLog } from './promotion-log.js';
-import { DUTY_KEY, primaryKey } from '../store/store-documents.js';
+import { PROMOTION_LEASE_KEY, primaryKey } from '../store/store-documents.js';
 
 /** Longest time for the change, milliseconds. */
 const CLAIM_TIMEOUT_MS = 1000;
@@ -45,7 +45,7 @@
     successor: NamedSuccessor | undefined,
     now: number,
   ): Promise<Result<RecordClaim, ClaimRefusal>> {
-    if (!this.ctx.view.isSettled) {
+    if (!this.ctx.view.isEraSettled) {
       this.log.info('promotion-claim-unsettled', { era: this.ctx.view.ownPosition.era });
       return err({ kind: 'not-written' });
     }
@@ -86,18 +86,18 @@
   ): Promise<Result<RecordClaim, ClaimRefusal>> {
     const { store, view, proofs } = this.ctx;
     const own = { key: primaryKey(record.group), value: JSON.stringify(record) };
-    const duty = { key: DUTY_KEY, value: this.dutyValue(fence) };
+    const duty = { key: PROMOTION_LEASE_KEY, value: this.dutyValue(fence) };
     const change = this.swapOf([own, duty]);
     const result = await store.change(change, StorePurpose.Record, CLAIM_TIMEOUT_MS);
     const confirmedAt = performance.now();
     if (result.isErr() || result.value.kind !== 'done') {
-      this.log.info('promotion-claim-failed', { result: changeEnd(result) });
+      this.log.info('promotion-claim-failed', { result: changeResultText(result) });
       await proofs.read();
       return err({ kind: 'not-written' });
     }
     const { position } = result.value;
     const item = { ...own, position };
-    view.takeItems([item, { ...duty, position }], confirmedAt);
+    view.applyItems([item, { ...duty, position }], confirmedAt);
     return ok({ record, item, fence, sentAt, confirmedAt });
   }
 
--- a/packages/gateway/src/control/promotion/record-founder.ts
+++ b/packages/gateway/src/control/promotion/record-founder.ts
@@ -8,7 +8,7 @@
 import type { UpstreamEntry } from '../../model/catalog.js';
 import { ReportedRole } from '../../model/catalog.js';
 import type { MetadataStore } from '../store/metadata-store.js';
-import { changeEnd, StorePurpose } from '../store/metadata-store.js';
+import { changeResultText, StorePurpose } from '../store/metadata-store.js';
 import { primaryKey } from '../store/store-documents.js';
 import type { StoreView } from '../store/store-view.js';
 
@@ -37,7 +37,7 @@
   /** Founds what is missing at `now` and due to this host. */
   tick(now: number): void {
     const { board, view } = this.options;
-    if (!view.hasRead || !view.isSettled || board.hosts.get(board.host) === undefined) return;
+    if (!view.hasLoaded || !view.isEraSettled || board.hosts.get(board.host) === undefined) return;
     for (const group of board.catalog?.groups.keys() ?? []) {
       if (board.record(group) !== undefined) continue;
       const since = this.missingSince.get(group) ?? now;
@@ -73,7 +73,7 @@
     };
     const result = await store.change(change, StorePurpose.Record, WRITE_TIMEOUT_MS);
     this.writing.delete(group);
-    const ended = changeEnd(result);
+    const ended = changeResultText(result);
     log.info('record-founded', { group, primary: primary.id, result: ended });
   }
 }
--- a/packages/gateway/src/control/promotion/successor-lead.ts
+++ b/packages/gateway/src/control/promotion/successor-lead.ts
@@ -6,7 +6,7 @@
 import type { GroupId, NamedSuccessor, UpstreamIdentity } from '@gladespool/coordination';
 import { comparePositions, formatPosition } from '@gladespool/coordination';
 import type { StatusResult } from '../../home/upstream-probe.js';
-import type { UpstreamStatus } from '../../model/upstream-wire.js';
+import type { UpstreamStatus } from '../../model/upstream-driver.js';
 import { PromotionAnswer } from './promotion-call.js';
 import type { PromotionContext } from './promotion-context.js';
 import type { PromotionLog } from './promotion-log.js';
--- a/packages/gateway/src/control/proofs/peer-renewer.ts
+++ b/packages/gateway/src/control/proofs/peer-renewer.ts
@@ -47,8 +47,8 @@
   /** Starts a round if one is due at `now`. */
   tick(now: number): void {
     const { board, order, loop } = this.options;
-    const place = { zone: order.zonePlace, rank: order.rank };
-    const ageMs = now - board.provenSince - loop.pausedMsSince(board.provenSince);
+    const place = { zone: order.zoneRank, rank: order.rank };
+    const ageMs = now - board.latestProofAt - loop.pausedMsSince(board.latestProofAt);
     if (ageMs < renewalDueAge(place, board.topology.isMultiRegion)) {
       if (ageMs < this.firstDueAge) this.noteStore(now);
       return;
@@ -96,7 +96,7 @@
   /** Whether a host answered as the very process that is listed; what it knows is taken over. */
   private takeSupport({ host, incarnation, items }: RoundAnswer, list: HostList): boolean {
     if (list.hosts.get(host) !== incarnation) return false;
-    this.options.view.takeItems(items, performance.now());
+    this.options.view.applyItems(items, performance.now());
     return true;
   }
 
--- a/packages/gateway/src/control/proofs/proof-keeper.ts
+++ b/packages/gateway/src/control/proofs/proof-keeper.ts
@@ -11,7 +11,7 @@
 import type { MetadataStore, StoreEntry } from '../store/metadata-store.js';
 import { StorePurpose } from '../store/metadata-store.js';
 import type { HostList, PassableProof } from './passable-proof.js';
-import type { Registrar } from '../store/registrar.js';
+import type { HostRegistrar } from '../store/registrar.js';
 import type { StoreFollower } from '../store/store-follower.js';
 import { hostKey, OWN_PREFIX, readOwnDocument } from '../store/store-documents.js';
 import type { StoreView } from '../store/store-view.js';
@@ -39,7 +39,7 @@
   readonly store: MetadataStore;
   readonly view: StoreView;
   readonly follower: StoreFollower;
-  readonly registrar: Registrar;
+  readonly registrar: HostRegistrar;
   readonly rules: ProofRules;
   readonly log: Logger;
 }
@@ -93,7 +93,7 @@
     const { board, view } = this.options;
     const entries = [...board.hosts.values()];
     const hosts = new Map(entries.map((entry) => [entry.host, entry.incarnation] as const));
-    const { listedHosts: listed } = board;
+    const { listedHostCount: listed } = board;
     return { readAt: this.listedAt, position: view.ownPosition, hosts, listed };
   }
 
@@ -107,10 +107,10 @@
     const { board, self, view } = this.options;
     const { sentAt, isFromStore } = proof;
     // A store that came back from a copy may name a primary that another one has followed.
-    if (isFromStore && !view.isSettled) return;
+    if (isFromStore && !view.isEraSettled) return;
     if (isFromStore) this.listedAt = Math.max(this.listedAt, sentAt);
     if (sentAt > (this.passable?.sentAt ?? Number.NEGATIVE_INFINITY)) this.passable = proof;
-    if (this.covers(proof, self.host, self.incarnation)) board.prove(sentAt);
+    if (this.covers(proof, self.host, self.incarnation)) board.recordProof(sentAt);
   }
 
   /** The newest proof that a process may hold; undefined if it was not listed then. */
@@ -150,12 +150,12 @@
   /** Takes a read that showed `position` of the store, once the documents up to there are held. */
   private async complete(position: StorePosition, sentAt: number): Promise<boolean> {
     const { view, follower, rules } = this.options;
-    if (isLater(position, view.ownPosition) && follower.watches) {
-      await view.waitForOwn(position, rules.watchLagMs);
+    if (isLater(position, view.ownPosition) && follower.isActive) {
+      await view.waitForOwnDocuments(position, rules.watchLagMs);
     }
     if (isLater(position, view.ownPosition)) return this.readDocuments();
     // Questions that wait are answered as the proof is taken, and their answers tell how old the documents are.
-    if (!isLater(position, view.position)) view.noteCurrent(sentAt);
+    if (!isLater(position, view.position)) view.markCurrent(sentAt);
     this.takeProof({ sentAt, position, isFromStore: true });
     this.checkWatch(position);
     return true;
@@ -176,7 +176,7 @@
 
   private noteFailure({ step, peer, message }: GladespoolError): false {
     const { board, log } = this.options;
-    const age = Math.round(performance.now() - board.provenSince);
+    const age = Math.round(performance.now() - board.latestProofAt);
     log.warn('proof-read-failed', { step, peer, error: message, proof_age_ms: age });
     return false;
   }
@@ -187,7 +187,7 @@
    */
   async register(): Promise<void> {
     const { registrar, view } = this.options;
-    const registration = await registrar.ensure();
+    const registration = await registrar.ensureRegistered();
     if (registration === undefined) {
       if (registrar.isRefused) await this.readDocuments();
       return;
@@ -196,9 +196,9 @@
     const { position } = item;
     const before = { ...position, revision: position.revision - 1 };
     const isAllHeld = !isLater(before, view.ownPosition);
-    view.takeItems([item], performance.now());
+    view.applyItems([item], performance.now());
     if (!isAllHeld) return;
-    view.noteOwnComplete(position);
+    view.markOwnComplete(position);
     this.takeProof({ sentAt, position, isFromStore: true });
   }
 
@@ -206,8 +206,8 @@
   private checkWatch(position: StorePosition): void {
     const { view, follower, log, rules } = this.options;
     if (!isLater(position, view.position)) return;
-    if (!follower.watches) {
-      void follower.catchUp();
+    if (!follower.isActive) {
+      void follower.readOnce();
       return;
     }
     setTimeout(() => {
--- a/packages/gateway/src/control/proofs/sync-answers.ts
+++ b/packages/gateway/src/control/proofs/sync-answers.ts
@@ -97,7 +97,7 @@
     if (own !== undefined) {
       reply.own = { ...own, items: [...own.items], removed: [...own.removed] };
     }
-    const documentsAgeMs = arrivedAt - view.currentSince;
+    const documentsAgeMs = arrivedAt - view.lastCurrentAt;
     if (Number.isFinite(documentsAgeMs)) reply.documentsAgeMs = documentsAgeMs;
     const proof = this.proofFor(ask, arrivedAt);
     // The word of other hosts counts only together with the claims that they told of.
--- a/packages/gateway/src/control/proofs/sync-service.ts
+++ b/packages/gateway/src/control/proofs/sync-service.ts
@@ -132,8 +132,8 @@
   /** Reads the store once, and lists this host with what it has read. */
   private async enlist(): Promise<void> {
     const { proofs, follower, view } = this.options;
-    if (!view.hasRead) await follower.catchUp();
-    if (view.hasRead) await proofs.register();
+    if (!view.hasLoaded) await follower.readOnce();
+    if (view.hasLoaded) await proofs.register();
   }
 
   /** Asks the other hosts in turn for the configuration that they knew. */
@@ -177,7 +177,7 @@
 
   onFrame(_link: PeerLink, frame: Frame): void {
     if (frame.kind !== FrameKind.StoreUpdate) return;
-    this.options.view.takeItems(frame.items, performance.now());
+    this.options.view.applyItems(frame.items, performance.now());
   }
 
   onLost(): void {
@@ -196,12 +196,12 @@
   private noteLateness(now: number): void {
     const { board, view, proofs, log } = this.options;
     const isLate = this.isStale(now);
-    if (isLate === this.wasLate || !Number.isFinite(view.currentSince)) return;
+    if (isLate === this.wasLate || !Number.isFinite(view.lastCurrentAt)) return;
     this.wasLate = isLate;
     if (!isLate) return;
     log.info('proof-late', {
-      proof_age_ms: Math.round(now - board.provenSince),
-      documents_age_ms: Math.round(now - view.currentSince),
+      proof_age_ms: Math.round(now - board.latestProofAt),
+      documents_age_ms: Math.round(now - view.lastCurrentAt),
       read_ms_ago: proofs.readMsAgo(now),
       parent: this.options.order.parent?.host,
       ...this.trail.fields(now),
@@ -211,7 +211,7 @@
   /** Age of what is older, proof or documents, by the time in which this process ran. */
   private ageAt(now: number): number {
     const { board, view, loop } = this.options;
-    const since = Math.min(board.provenSince, view.currentSince + FETCH_MS);
+    const since = Math.min(board.latestProofAt, view.lastCurrentAt + FETCH_MS);
     return now - since - loop.pausedMsSince(since);
   }
 
@@ -287,7 +287,7 @@
     const { self, view, calls, board, rules } = this.options;
     const sentAt = performance.now();
     const { host, incarnation } = self;
-    const { provenSince } = board;
+    const { latestProofAt: provenSince } = board;
     if (waitMs > 0) this.trail.noteAsked(sentAt);
     const question = {
       host,
@@ -297,17 +297,17 @@
       waitMs,
       ...(Number.isFinite(provenSince) && { proofAgeMs: sentAt - provenSince }),
     };
-    const result = await calls.ask(
+    const result = await calls.request(
       peer,
       (id) => ({ kind: FrameKind.SyncRequest, id, ...question }),
       waitMs + rules.timeoutMs,
-      { heldMs: waitMs },
+      { longPollMs: waitMs },
     );
     // Who does not answer is noted by the calls themselves.
     if (result.isErr() || result.value.kind !== FrameKind.SyncReply || this.stopped) return false;
     this.take(result.value, peer, sentAt);
     if (!this.isStale(performance.now())) this.helpful = peer;
-    return board.provenSince > provenSince;
+    return board.latestProofAt > provenSince;
   }
 
   /** Takes the answer to a question that was sent at `sentAt`. */
@@ -315,14 +315,14 @@
     const { view, documents } = this.options;
     const { own, proof, documentsAgeMs } = reply;
     this.heard = laterOf(this.heard, reply.newest);
-    if (own !== undefined) view.takeOwn(own, performance.now());
+    if (own !== undefined) view.applyOwnChanges(own, performance.now());
     if (own !== undefined && !isLater(reply.documentsPosition, view.position)) {
-      view.noteNothingElse(reply.position);
+      view.markOnlyOwnChanged(reply.position);
     } else if (isLater(reply.position, view.position)) {
       void documents.fetch(peer);
     }
     const isComplete = !isLater(reply.position, view.position);
-    if (isComplete && documentsAgeMs !== undefined) view.noteCurrent(sentAt - documentsAgeMs);
+    if (isComplete && documentsAgeMs !== undefined) view.markCurrent(sentAt - documentsAgeMs);
     // Questions that wait here are answered as the proof is taken, and their answers tell how old the documents are.
     if (proof === undefined) this.trail.noteAnswer(performance.now(), ProofEnd.None);
     else this.takeProof(proof, sentAt);
--- a/packages/gateway/src/control/store/board-publisher.ts
+++ b/packages/gateway/src/control/store/board-publisher.ts
@@ -15,21 +15,21 @@
 import { BoardSection } from '../../knowledge/board.js';
 import type { GatewayBoard, HostEntry } from '../../knowledge/board.js';
 import type { Catalog, UpstreamEntry } from '../../model/catalog.js';
-import type { HeldDocument, HeldDocuments, StoreDocument } from './held-documents.js';
-import { LapsedUpstreams } from './lapsed-upstreams.js';
+import type { CachedDocument, DocumentCache, StoreDocument } from './document-cache.js';
+import { ExpiredUpstreams } from './expired-upstreams.js';
 import { groupOfKey, hostKey, hostOfKey } from './store-documents.js';
 
 /** What the present era of the store leaves in doubt. */
-export interface EraDoubts {
+export interface EraState {
   /** Whether a key is held that the present era does not have. */
   isMissing(key: string): boolean;
   /** Version of the oldest configuration that a host may begin with, which found one at `position`. */
-  oldestCatalog(position: StorePosition): number;
+  minimumCatalogVersion(position: StorePosition): number;
 }
 
 /** Publisher of one host. */
 export class BoardPublisher {
-  private readonly lapsed: LapsedUpstreams;
+  private readonly lapsed: ExpiredUpstreams;
   /** Evacuated zones, with the latest local time at which they were surely in use. */
   private readonly lastInUseAt = new Map<AzId, number>();
   /** A configuration that is too old to be put in force; undefined while there is none. */
@@ -40,18 +40,18 @@
 
   constructor(
     private readonly board: GatewayBoard,
-    private readonly documents: HeldDocuments,
+    private readonly documents: DocumentCache,
     private readonly log: Logger,
     lapse: ExpiryRules,
-    private readonly era: EraDoubts,
+    private readonly era: EraState,
   ) {
-    this.lapsed = new LapsedUpstreams(lapse, log);
+    this.lapsed = new ExpiredUpstreams(lapse, log);
   }
 
   /** Takes a document that was written in place of `former`. */
-  take(
+  applyDocument(
     document: StoreDocument,
-    former: HeldDocument | undefined,
+    former: CachedDocument | undefined,
     position: StorePosition,
     now: number,
   ): void {
@@ -87,7 +87,7 @@
   }
 
   /** Notes that a document was removed at `position`. */
-  takeRemoval(document: HeldDocument, position: StorePosition, now: number): void {
+  applyRemoval(document: CachedDocument, position: StorePosition, now: number): void {
     const section = SECTIONS.get(document.kind);
     if (section !== undefined) this.outdated.add(section);
     if (document.kind === 'upstream') this.lapsed.add(document.entry, now);
@@ -98,20 +98,20 @@
    * Notes that the newest version of a key can't be read. A configuration stays in force as it was; an upstream
    * counts as one whose entry has vanished; a host stays listed; nobody uses a primary that is in doubt.
    */
-  takeUnreadable(
+  applyUnreadable(
     key: string,
-    former: HeldDocument | undefined,
+    former: CachedDocument | undefined,
     position: StorePosition,
     now: number,
   ): void {
-    if (former?.kind === 'upstream') this.takeRemoval(former, position, now);
+    if (former?.kind === 'upstream') this.applyRemoval(former, position, now);
     if (hostOfKey(key) !== undefined) this.outdated.add(BoardSection.Hosts);
     const group = groupOfKey(key);
     if (group !== undefined) this.doubtRecord(group, position);
   }
 
   /** Notes that a version of a key that could not be read was removed, or replaced by one that can. */
-  takeUnreadableEnd(key: string): void {
+  clearUnreadable(key: string): void {
     if (hostOfKey(key) !== undefined) this.outdated.add(BoardSection.Hosts);
   }
 
@@ -121,20 +121,20 @@
   }
 
   /** Puts a configuration in force that was too old, if it is not any more. */
-  reviewCatalog(): void {
+  retryCatalog(): void {
     if (this.catalogTooOld === undefined) return;
     const { catalog, position } = this.catalogTooOld;
     this.takeCatalog(catalog, position);
   }
 
   /** Notes that the store has lost this host's own entry. */
-  noteOwnEntryLost(): void {
+  markOwnEntryLost(): void {
     this.outdated.add(BoardSection.Hosts);
   }
 
   /** Looks at the upstreams whose entries are missing; `current` while the documents are the store's. */
-  review(current: boolean, now: number): void {
-    if (this.lapsed.review(current, now)) this.outdated.add(BoardSection.Upstreams);
+  updateExpiredUpstreams(current: boolean, now: number): void {
+    if (this.lapsed.updateStages(current, now)) this.outdated.add(BoardSection.Upstreams);
   }
 
   /**
@@ -156,7 +156,7 @@
   /** A catalog that names other groups than the one before can change which upstreams are used. */
   private takeCatalog(catalog: Catalog, position: StorePosition): void {
     // Callers of the other hosts are served by a newer one, so a key or route of this one may be gone there.
-    const oldest = this.era.oldestCatalog(position);
+    const oldest = this.era.minimumCatalogVersion(position);
     if (this.board.catalog === undefined && catalog.version < oldest) {
       this.catalogTooOld = { catalog, position };
       this.log.info('catalog-too-old', { version: catalog.version, known: oldest });
@@ -208,7 +208,7 @@
 
   /** Notes which section of the board a document changes; one that was only written again changes none. */
   private noteChange(
-    former: HeldDocument | undefined,
+    former: CachedDocument | undefined,
     document: StoreDocument,
     { era }: StorePosition,
   ): void {
--- a/packages/gateway/src/control/store/present-era.ts
+++ b/packages/gateway/src/control/store/current-era.ts
@@ -10,7 +10,7 @@
 const UNKNOWN_INCARNATION = -1;
 
 /** Era of one host's view. */
-export class PresentEra {
+export class CurrentEra {
   /** Local time since which the gateway's own documents held are those of the era. */
   since: number;
   /** Hosts, with their incarnations, that may know what the era has lost of the gateway's documents. */
@@ -38,7 +38,7 @@
   }
 
   /** Notes that the gateway's own documents of the era were taken: hosts that it lists may know more as well. */
-  noteTaken(): void {
+  markLoaded(): void {
     if (!this.isBeginning) return;
     this.isBeginning = false;
     this.formerHosts = new Map([...this.listedProcesses(), ...this.formerHosts]);
@@ -46,7 +46,7 @@
 
   /** The listed hosts with their incarnations; those whose entries can't be read tell none. */
   private listedProcesses(): ReadonlyMap<HostId, number> {
-    const { hosts, unknownHosts } = this.board;
+    const { hosts, unreadableHosts: unknownHosts } = this.board;
     const unknown = [...unknownHosts].map((host) => [host, UNKNOWN_INCARNATION] as const);
     const known = [...hosts.values()].map((entry) => [entry.host, entry.incarnation] as const);
     return new Map([...unknown, ...known]);
--- a/packages/gateway/src/control/store/held-documents.ts
+++ b/packages/gateway/src/control/store/document-cache.ts
@@ -13,13 +13,13 @@
 export type StoreDocument = OwnDocument | ForeignDocument;
 
 /** A document with the key's version that it was read from. */
-export type HeldDocument = StoreDocument & { readonly item: StoreItem };
+export type CachedDocument = StoreDocument & { readonly item: StoreItem };
 
 /** A record of a primary that is held. */
-export type HeldRecord = Extract<HeldDocument, { readonly kind: 'primary' }>;
+export type CachedRecord = Extract<CachedDocument, { readonly kind: 'primary' }>;
 
 /** Whether a document is the record of a primary. */
-export function isRecord(document: HeldDocument): document is HeldRecord {
+export function isRecord(document: CachedDocument): document is CachedRecord {
   return document.kind === 'primary';
 }
 
@@ -27,7 +27,7 @@
 const MAX_KEPT_CHARS = 4096;
 
 /** Documents by key, with the latest positions heard of. */
-export class HeldDocuments {
+export class DocumentCache {
   /** Position of the latest change that this host has heard of. */
   newest = STORE_START;
   /** Position of the latest change of one of the gateway's own documents. */
@@ -38,12 +38,12 @@
   readonly recordEras = new EraCounts();
   /** Eras of all readable documents. */
   readonly eras = new EraCounts();
-  private readonly held = new Map<string, HeldDocument>();
+  private readonly held = new Map<string, CachedDocument>();
   /** Newest versions that can't be read; the last readable one stays in `held`, except an upstream's. */
   private readonly unreadable = new Map<string, StoreItem>();
 
   /** All documents held. */
-  get all(): readonly HeldDocument[] {
+  get all(): readonly CachedDocument[] {
     return [...this.held.values()];
   }
 
@@ -62,7 +62,7 @@
     return [...this.unreadable.keys()];
   }
 
-  get(key: string): HeldDocument | undefined {
+  get(key: string): CachedDocument | undefined {
     return this.held.get(key);
   }
 
@@ -91,7 +91,7 @@
   }
 
   /** Drops a key that was removed at `position`; returns what was held of it. */
-  drop(key: string, position: StorePosition): HeldDocument | undefined {
+  remove(key: string, position: StorePosition): CachedDocument | undefined {
     const held = this.held.get(key);
     this.exchange(key, undefined);
     this.unreadable.delete(key);
@@ -116,11 +116,11 @@
   }
 
   /** Notes that everything up to `position` was read. */
-  noteComplete(position: StorePosition): void {
+  markCompleteUpTo(position: StorePosition): void {
     this.foreignNewest = laterOf(this.foreignNewest, position);
   }
 
-  private exchange(key: string, next: HeldDocument | undefined): void {
+  private exchange(key: string, next: CachedDocument | undefined): void {
     const former = this.held.get(key);
     this.eras.replace(former?.item.position.era, next?.item.position.era);
     this.recordEras.replace(recordEraOf(former), recordEraOf(next));
@@ -135,6 +135,6 @@
   }
 }
 
-function recordEraOf(document: HeldDocument | undefined): number | undefined {
+function recordEraOf(document: CachedDocument | undefined): number | undefined {
   return document?.kind === 'primary' ? document.item.position.era : undefined;
 }
--- a/packages/gateway/src/control/store/document-exchange.ts
+++ b/packages/gateway/src/control/store/document-exchange.ts
@@ -62,7 +62,7 @@
   private async fetchOnce(peer: PeerAddress, position: StorePosition): Promise<void> {
     const { view, calls, log } = this.options;
     const ask = (id: number) => ({ kind: FrameKind.DocumentsRequest, id, position }) as const;
-    const result = await calls.ask(peer, ask, FETCH_TIMEOUT_MS);
+    const result = await calls.request(peer, ask, FETCH_TIMEOUT_MS);
     if (result.isErr() || result.value.kind !== FrameKind.DocumentsReply) {
       log.info('documents-not-fetched', {
         from: peer.host,
@@ -77,7 +77,7 @@
       return;
     }
     const { complete, position: upTo } = reply;
-    view.merge({ complete, position: upTo, ...documents.value }, performance.now());
+    view.applyDelta({ complete, position: upTo, ...documents.value }, performance.now());
   }
 
   private answer(link: PeerLink, ask: FrameOf<FrameKind.DocumentsRequest>): void {
--- a/packages/gateway/src/control/store/document-order.ts
+++ b/packages/gateway/src/control/store/document-order.ts
@@ -4,7 +4,7 @@
  */
 import { isDeepStrictEqual } from 'node:util';
 import { recordRank } from '@gladespool/coordination';
-import type { StoreDocument } from './held-documents.js';
+import type { StoreDocument } from './document-cache.js';
 
 type DocumentOf<Kind extends StoreDocument['kind']> = Extract<
   StoreDocument,
@@ -19,7 +19,8 @@
   if (document.kind === 'primary' && known.kind === 'primary') {
     return recordRank(document.record) < recordRank(known.record);
   }
-  if (document.kind === 'duty' && known.kind === 'duty') return isOlderDuty(document, known);
+  if (document.kind === 'duty' && known.kind === 'duty')
+    return isOlderPromotionLease(document, known);
   if (document.kind === 'host' && known.kind === 'host') {
     return document.entry.incarnation < known.entry.incarnation;
   }
@@ -29,7 +30,7 @@
   return false;
 }
 
-function isOlderDuty({ duty }: DocumentOf<'duty'>, known: DocumentOf<'duty'>): boolean {
+function isOlderPromotionLease({ duty }: DocumentOf<'duty'>, known: DocumentOf<'duty'>): boolean {
   if (duty.fence !== known.duty.fence) return duty.fence < known.duty.fence;
   return duty.renewal < known.duty.renewal;
 }
--- a/packages/gateway/src/control/store/document-reading.ts
+++ b/packages/gateway/src/control/store/document-read-result.ts
@@ -5,7 +5,7 @@
 import type { Result } from 'neverthrow';
 
 /** A key that holds no document of a known kind. */
-interface KeyOfNoConcern {
+interface UnrelatedKey {
   readonly verdict: DocumentVerdict.Unrelated;
 }
 
@@ -17,16 +17,16 @@
 }
 
 /** Outcome of reading a key. */
-export type DocumentReading<Document> =
+export type DocumentReadResult<Document> =
   | { readonly verdict: DocumentVerdict.Used; readonly document: Document }
-  | KeyOfNoConcern
+  | UnrelatedKey
   | UnreadableDocument;
 
 /** Outcome for a key of no known kind. */
-export const OF_NO_CONCERN: KeyOfNoConcern = { verdict: DocumentVerdict.Unrelated };
+export const UNRELATED_KEY: UnrelatedKey = { verdict: DocumentVerdict.Unrelated };
 
 /** Outcome for a document that was decoded. */
-export function usedDocument<Document>(document: Document): DocumentReading<Document> {
+export function usedDocument<Document>(document: Document): DocumentReadResult<Document> {
   return { verdict: DocumentVerdict.Used, document };
 }
 
@@ -36,6 +36,8 @@
 }
 
 /** Outcome of decoding a document; an error names the place in it. */
-export function readingOf<Document>(decoded: Result<Document, string>): DocumentReading<Document> {
-  return decoded.match<DocumentReading<Document>>(usedDocument, unreadableDocument);
+export function toReadResult<Document>(
+  decoded: Result<Document, string>,
+): DocumentReadResult<Document> {
+  return decoded.match<DocumentReadResult<Document>>(usedDocument, unreadableDocument);
 }
--- a/packages/gateway/src/control/store/document-reader.ts
+++ b/packages/gateway/src/control/store/document-reader.ts
@@ -5,9 +5,9 @@
 import type { HostMetrics, Logger } from '@gladespool/observability';
 import { DocumentVerdict } from '@gladespool/observability';
 import type { GatewayBoard } from '../../knowledge/board.js';
-import type { DocumentReading } from './document-reading.js';
-import type { ForeignDocuments } from './foreign-documents.js';
-import type { StoreDocument } from './held-documents.js';
+import type { DocumentReadResult } from './document-read-result.js';
+import type { ForeignDocumentReader } from './foreign-documents.js';
+import type { StoreDocument } from './document-cache.js';
 import type { StoreItem } from './metadata-store.js';
 import { OWN_PREFIX, readOwnDocument } from './store-documents.js';
 
@@ -18,13 +18,13 @@
 export class DocumentReader {
   constructor(
     private readonly board: GatewayBoard,
-    private readonly foreign: ForeignDocuments,
+    private readonly foreign: ForeignDocumentReader,
     private readonly metrics: HostMetrics,
     private readonly log: Logger,
   ) {}
 
   /** Reads a version of a key that this host has not read before. */
-  read(item: StoreItem): DocumentReading<StoreDocument> {
+  read(item: StoreItem): DocumentReadResult<StoreDocument> {
     const reading = this.decode(item);
     const verdict = this.verdictOf(reading);
     this.metrics.storeDocuments.inc({ verdict });
@@ -32,11 +32,11 @@
     return reading;
   }
 
-  private decode({ key, value }: StoreItem): DocumentReading<StoreDocument> {
+  private decode({ key, value }: StoreItem): DocumentReadResult<StoreDocument> {
     return key.startsWith(OWN_PREFIX) ? readOwnDocument(key, value) : this.foreign.read(key, value);
   }
 
-  private verdictOf(reading: DocumentReading<StoreDocument>): DocumentVerdict {
+  private verdictOf(reading: DocumentReadResult<StoreDocument>): DocumentVerdict {
     if (reading.verdict !== DocumentVerdict.Used) return reading.verdict;
     const { document } = reading;
     const isKeptAside =
@@ -47,7 +47,7 @@
   private tell(
     { key, position }: StoreItem,
     verdict: DocumentVerdict,
-    reading: DocumentReading<StoreDocument>,
+    reading: DocumentReadResult<StoreDocument>,
   ): void {
     const logged = { key: key.slice(0, MAX_TOLD_CHARS), position: formatStorePosition(position) };
     if (reading.verdict === DocumentVerdict.Unreadable) {
--- a/packages/gateway/src/control/store/era-opener.ts
+++ b/packages/gateway/src/control/store/era-opener.ts
@@ -10,8 +10,8 @@
 import type { RelayOrder } from '../../knowledge/relay-order.js';
 import type { HostRound } from '../hosts/host-round.js';
 import type { MetadataStore, StoreChange } from './metadata-store.js';
-import { changeEnd, StorePurpose } from './metadata-store.js';
-import { DUTY_KEY, eraKey } from './store-documents.js';
+import { changeResultText, StorePurpose } from './metadata-store.js';
+import { PROMOTION_LEASE_KEY, eraKey } from './store-documents.js';
 import type { StoreView } from './store-view.js';
 
 /** What the opener works on. */
@@ -24,7 +24,7 @@
   readonly round: HostRound;
   readonly authority: AuthorityRules;
   /** Reads the gateway's own documents anew. */
-  readonly readAgain: () => Promise<unknown>;
+  readonly reloadOwnDocuments: () => Promise<unknown>;
   readonly metrics: HostMetrics;
   readonly log: Logger;
 }
@@ -54,8 +54,8 @@
   /** Opens the present era, or writes back what an opened one lacks, if that is due at `now`. */
   tick(now: number): void {
     const { board, view, order } = this.options;
-    if (this.busy || view.isSettled || board.draining || now < this.notBefore) return;
-    const sinceMs = now - view.presentEra.since - (order.zonePlace + order.rank) * PLACE_STEP_MS;
+    if (this.busy || view.isEraSettled || board.draining || now < this.notBefore) return;
+    const sinceMs = now - view.currentEra.since - (order.zoneRank + order.rank) * PLACE_STEP_MS;
     if (sinceMs < 0) return;
     void this.run(now);
   }
@@ -63,7 +63,7 @@
   private async run(now: number): Promise<void> {
     this.busy = true;
     const { view } = this.options;
-    const opened = view.isOpened ? await this.writeBackClaims() : await this.open(now);
+    const opened = view.isEraOpened ? await this.writeBackClaims() : await this.open(now);
     this.notBefore = performance.now() + (opened ? 0 : RETRY_MS);
     this.busy = false;
   }
@@ -73,14 +73,14 @@
     const { era } = view.ownPosition;
     // Nobody has to be asked before the earliest time for the answers to count.
     const earliest = {
-      listed: view.presentEra.formerHosts.size,
-      answered: view.presentEra.formerHosts.size,
+      listed: view.currentEra.formerHosts.size,
+      answered: view.currentEra.formerHosts.size,
       replaced: 0,
     };
-    if (!mayOpenEra(earliest, now - view.presentEra.since, authority)) return false;
+    if (!mayOpenEra(earliest, now - view.currentEra.since, authority)) return false;
     const former = await this.askFormer();
-    const sinceMs = performance.now() - view.presentEra.since;
-    if (view.isSettled) return true;
+    const sinceMs = performance.now() - view.currentEra.since;
+    if (view.isEraSettled) return true;
     if (view.ownPosition.era !== era || !mayOpenEra(former, sinceMs, authority)) {
       log.info('era-not-opened', { era, ...former });
       return false;
@@ -94,13 +94,13 @@
   /** Asks the hosts that were listed in the era before for what they know, and takes it over. */
   private async askFormer(): Promise<PreviousEraHosts> {
     const { self, board, view, round } = this.options;
-    const { formerHosts } = view.presentEra;
+    const { formerHosts } = view.currentEra;
     if (formerHosts.size === 0) return { listed: 0, answered: 0, replaced: 0 };
     const { host, incarnation } = self;
     let answered = formerHosts.get(host) === incarnation ? 1 : 0;
     const question = { kind: FrameKind.RenewRequest, id: 0, host, incarnation } as const;
     await round.askAll(question, ASK_TIMEOUT_MS, (answer) => {
-      view.takeItems(answer.items, performance.now());
+      view.applyItems(answer.items, performance.now());
       if (formerHosts.get(answer.host) === answer.incarnation) answered += 1;
     });
     const replaced = [...formerHosts].filter(([name, process]) => {
@@ -116,10 +116,10 @@
     const known = view.duty?.duty;
     const fence = initialFence(known?.fence ?? 0, former);
     const isHeard = fence === (known?.fence ?? 0);
-    if (isHeard && !view.isLost(DUTY_KEY)) return [];
+    if (isHeard && !view.isLost(PROMOTION_LEASE_KEY)) return [];
     const renewal = (known?.renewal ?? 0) + 1;
     const unheard = { holder: UNKNOWN_HOST, incarnation: 0, fence, renewal };
-    return [{ key: DUTY_KEY, value: JSON.stringify(isHeard ? known : unheard) }];
+    return [{ key: PROMOTION_LEASE_KEY, value: JSON.stringify(isHeard ? known : unheard) }];
   }
 
   /** Writes documents back, the marker of the era with the last ones. */
@@ -154,8 +154,8 @@
     const change = { conditions, writes, removals };
     const result = await store.change(change, StorePurpose.Record, WRITE_TIMEOUT_MS);
     if (result.isErr() || result.value.kind !== 'done') {
-      log.info('documents-not-restored', { result: changeEnd(result) });
-      await this.options.readAgain();
+      log.info('documents-not-restored', { result: changeResultText(result) });
+      await this.options.reloadOwnDocuments();
       return false;
     }
     this.takeWritten(writes, result.value.position);
@@ -166,7 +166,7 @@
   private takeWritten(writes: readonly Write[], position: StorePosition): void {
     const { view, log } = this.options;
     for (const { key } of writes) log.info('document-restored', { key, era: position.era });
-    view.takeItems(
+    view.applyItems(
       writes.map((write) => ({ ...write, position })),
       performance.now(),
     );
--- a/packages/gateway/src/control/store/lapsed-upstreams.ts
+++ b/packages/gateway/src/control/store/expired-upstreams.ts
@@ -16,7 +16,7 @@
 }
 
 /** The vanished entries that one host knows of. */
-export class LapsedUpstreams {
+export class ExpiredUpstreams {
   private readonly lapses = new Map<UpstreamId, Lapse>();
 
   constructor(
@@ -53,7 +53,7 @@
    *
    * @returns whether anything has changed.
    */
-  review(current: boolean, now: number): boolean {
+  updateStages(current: boolean, now: number): boolean {
     let changed = false;
     for (const lapse of this.lapses.values()) {
       if (current) changed = this.advance(lapse, now) || changed;
--- a/packages/gateway/src/control/store/foreign-documents.ts
+++ b/packages/gateway/src/control/store/foreign-documents.ts
@@ -3,7 +3,7 @@
  */
 import type { AzId } from '@gladespool/coordination';
 import type { Catalog, UpstreamEntry } from '../../model/catalog.js';
-import type { DocumentReading } from './document-reading.js';
+import type { DocumentReadResult } from './document-read-result.js';
 
 /** A document that others keep in the store: operators and upstreams. */
 export type ForeignDocument =
@@ -18,6 +18,6 @@
   | { readonly kind: 'evacuation'; readonly az: AzId };
 
 /** Reads documents of others; it never throws, whatever the text is. */
-export interface ForeignDocuments {
-  read(key: string, text: string): DocumentReading<ForeignDocument>;
+export interface ForeignDocumentReader {
+  read(key: string, text: string): DocumentReadResult<ForeignDocument>;
 }
--- a/packages/gateway/src/control/store/guarded-store.ts
+++ b/packages/gateway/src/control/store/guarded-store.ts
@@ -19,7 +19,7 @@
 import { eraKey } from './store-documents.js';
 
 /** What the guard knows of the present era. */
-export interface EraKnowledge {
+export interface EraSource {
   /** Latest era that this host has heard of. */
   readonly era: number;
 }
@@ -28,7 +28,7 @@
 export class GuardedStore implements MetadataStore {
   constructor(
     private readonly store: MetadataStore,
-    private readonly known: EraKnowledge,
+    private readonly known: EraSource,
     private readonly log: Logger,
   ) {}
 
--- a/packages/gateway/src/control/store/metadata-store.ts
+++ b/packages/gateway/src/control/store/metadata-store.ts
@@ -61,7 +61,7 @@
   { readonly kind: 'done'; readonly position: StorePosition } | { readonly kind: 'conflict' };
 
 /** How a change ended, in one word or the message of its error; for the log. */
-export function changeEnd(result: Result<ChangeResult, GladespoolError>): string {
+export function changeResultText(result: Result<ChangeResult, GladespoolError>): string {
   return result.isErr() ? result.error.message : result.value.kind;
 }
 
--- a/packages/gateway/src/control/store/registrar.ts
+++ b/packages/gateway/src/control/store/registrar.ts
@@ -6,7 +6,7 @@
 import type { Logger } from '@gladespool/observability';
 import type { GatewayBoard, HostEntry } from '../../knowledge/board.js';
 import type { MetadataStore, StoreItem } from './metadata-store.js';
-import { changeEnd, StorePurpose } from './metadata-store.js';
+import { changeResultText, StorePurpose } from './metadata-store.js';
 import { hostKey } from './store-documents.js';
 
 /** Longest time for writing the entry, milliseconds. */
@@ -32,7 +32,7 @@
 }
 
 /** Registers one host. */
-export class Registrar {
+export class HostRegistrar {
   /** Whether the store's present era refused the latest try: this host knows a former one only. */
   isRefused = false;
   private writing = false;
@@ -53,7 +53,7 @@
   }
 
   /** Writes the entry if it is not listed; the entry if this call has written it. */
-  async ensure(): Promise<Registration | undefined> {
+  async ensureRegistered(): Promise<Registration | undefined> {
     const isDue = !this.writing && performance.now() >= this.notBefore;
     if (this.isListed || this.board.draining || !isDue) return undefined;
     this.writing = true;
@@ -79,7 +79,7 @@
       return { item: { ...write, position }, sentAt };
     }
     this.notBefore = performance.now() + RETRY_MS;
-    this.log.warn('registering-failed', { result: changeEnd(result) });
+    this.log.warn('registering-failed', { result: changeResultText(result) });
     return undefined;
   }
 
@@ -104,7 +104,7 @@
    * killed while it stops; its entry is taken off the list by others then.
    */
   async remove(timeoutMs: number): Promise<void> {
-    const isUnreadable = this.board.unknownHosts.has(this.self.host);
+    const isUnreadable = this.board.unreadableHosts.has(this.self.host);
     if (!this.isListed && !isUnreadable) return;
     const change = { conditions: [], writes: [], removals: [hostKey(this.self.host)] };
     const limitMs = Math.max(LEAST_REMOVAL_MS, Math.min(WRITE_TIMEOUT_MS, timeoutMs));
--- a/packages/gateway/src/control/store/older-copies.ts
+++ b/packages/gateway/src/control/store/stale-versions.ts
@@ -3,11 +3,11 @@
  * what the host knows already.
  */
 import type { StorePosition } from '@gladespool/coordination';
-import type { StoreDocument } from './held-documents.js';
+import type { StoreDocument } from './document-cache.js';
 import type { StoreItem } from './metadata-store.js';
 
 /** A version that is not used. */
-export interface OlderCopy {
+export interface StaleVersion {
   readonly document: StoreDocument;
   readonly item: StoreItem;
 }
@@ -28,27 +28,27 @@
 const HOST_GONE_MS = 10_000;
 
 /** Time for which a host goes on without a document that has ended, though the store shows it, milliseconds. */
-export function unusedForMs({ kind }: StoreDocument): number {
+export function ignoreStaleForMs({ kind }: StoreDocument): number {
   if (kind === 'upstream') return UPSTREAM_MS;
   return kind === 'evacuation' ? EVACUATION_BACK_MS : Number.POSITIVE_INFINITY;
 }
 
 /** Time for which a host goes on with a document that the store does not show any more, milliseconds. */
-export function keptForMs({ kind }: StoreDocument): number {
+export function retainMissingForMs({ kind }: StoreDocument): number {
   if (kind === 'host') return HOST_GONE_MS;
   return kind === 'evacuation' ? EVACUATION_GONE_MS : Number.POSITIVE_INFINITY;
 }
 
 /** The versions that one host does not use. */
-export class OlderCopies {
-  private readonly copies = new Map<string, OlderCopy>();
+export class StaleVersions {
+  private readonly copies = new Map<string, StaleVersion>();
 
   /** All of them. */
-  get all(): readonly OlderCopy[] {
+  get all(): readonly StaleVersion[] {
     return [...this.copies.values()];
   }
 
-  get(key: string): OlderCopy | undefined {
+  get(key: string): StaleVersion | undefined {
     return this.copies.get(key);
   }
 
@@ -66,7 +66,7 @@
   }
 
   /** Forgets those of eras before `era`. */
-  forgetBefore(era: number): void {
+  deleteBefore(era: number): void {
     for (const { item } of this.all) {
       if (item.position.era < era) this.copies.delete(item.key);
     }
--- a/packages/gateway/src/control/store/store-documents.ts
+++ b/packages/gateway/src/control/store/store-documents.ts
@@ -8,8 +8,8 @@
 import { err, ok } from 'neverthrow';
 import * as z from 'zod';
 import type { HostEntry } from '../../knowledge/board.js';
-import type { DocumentReading } from './document-reading.js';
-import { OF_NO_CONCERN, readingOf } from './document-reading.js';
+import type { DocumentReadResult } from './document-read-result.js';
+import { UNRELATED_KEY, toReadResult } from './document-read-result.js';
 
 /** Prefix of every key of the gateway. */
 export const OWN_PREFIX = 'gladespool/';
@@ -17,7 +17,7 @@
 const PRIMARY_PREFIX = `${OWN_PREFIX}primary/`;
 const ERA_PREFIX = `${OWN_PREFIX}era/`;
 /** Key of the record of who may call for promotions. */
-export const DUTY_KEY = `${OWN_PREFIX}duty`;
+export const PROMOTION_LEASE_KEY = `${OWN_PREFIX}duty`;
 
 const count = z.int().nonnegative();
 
@@ -51,7 +51,7 @@
   storeRoundTripMs: z.number().nonnegative().optional(),
 });
 
-const dutyRecordSchema = z.object({
+const promotionLeaseSchema = z.object({
   holder: z.string().transform(hostId),
   incarnation: count,
   /** Grows whenever the holder changes. */
@@ -66,13 +66,13 @@
 });
 
 /** Who may call for promotions. */
-export type DutyRecord = z.infer<typeof dutyRecordSchema>;
+export type PromotionLeaseRecord = z.infer<typeof promotionLeaseSchema>;
 
 /** A document of the gateway found in the store. */
 export type OwnDocument =
   | { readonly kind: 'host'; readonly entry: HostEntry }
   | { readonly kind: 'primary'; readonly record: PrimaryRecord }
-  | { readonly kind: 'duty'; readonly duty: DutyRecord }
+  | { readonly kind: 'duty'; readonly duty: PromotionLeaseRecord }
   /** Marks an era of the store as one whose documents of the gateway can be relied on. */
   | { readonly kind: 'era'; readonly catalogVersion: number | undefined };
 
@@ -102,20 +102,20 @@
 }
 
 /** Reads a document of the gateway. */
-export function readOwnDocument(key: string, text: string): DocumentReading<OwnDocument> {
+export function readOwnDocument(key: string, text: string): DocumentReadResult<OwnDocument> {
   const host = hostOfKey(key);
-  if (host !== undefined) return readingOf(decodeHost(host, text));
+  if (host !== undefined) return toReadResult(decodeHost(host, text));
   const group = groupOfKey(key);
-  if (group !== undefined) return readingOf(decodeRecord(group, text));
+  if (group !== undefined) return toReadResult(decodeRecord(group, text));
   if (key.startsWith(ERA_PREFIX)) {
     const marker = parseUntrustedJson(eraMarkerSchema, text, MAX_ENTRY_CHARS);
-    return readingOf(
+    return toReadResult(
       marker.map(({ catalogVersion }) => ({ kind: 'era', catalogVersion }) as const),
     );
   }
-  if (key !== DUTY_KEY) return OF_NO_CONCERN;
-  const duty = parseUntrustedJson(dutyRecordSchema, text, MAX_ENTRY_CHARS);
-  return readingOf(duty.map((decoded) => ({ kind: 'duty', duty: decoded }) as const));
+  if (key !== PROMOTION_LEASE_KEY) return UNRELATED_KEY;
+  const duty = parseUntrustedJson(promotionLeaseSchema, text, MAX_ENTRY_CHARS);
+  return toReadResult(duty.map((decoded) => ({ kind: 'duty', duty: decoded }) as const));
 }
 
 /** An entry counts only under the key of its host: nobody else can list one. */
--- a/packages/gateway/src/control/store/store-follower.ts
+++ b/packages/gateway/src/control/store/store-follower.ts
@@ -60,12 +60,12 @@
   }
 
   /** Whether this host follows the store itself. */
-  get watches(): boolean {
+  get isActive(): boolean {
     return this.active;
   }
 
   /** Reads everything once, without following; not sooner after a failure than a follower would. */
-  async catchUp(): Promise<void> {
+  async readOnce(): Promise<void> {
     if (this.active || this.readingAll || performance.now() < this.catchUpNotBefore) return;
     const read = await this.readAll(this.turn);
     if (!read) this.catchUpNotBefore = performance.now() + this.options.rules.retryMs;
@@ -128,7 +128,7 @@
     const { events, position } = result.value;
     // Changes of a new era don't begin where the view ends, though its revision may be there again.
     if (position.era !== view.position.era) return false;
-    view.apply(events, position, performance.now());
+    view.applyEvents(events, position, performance.now());
     return true;
   }
 
--- a/packages/gateway/src/control/store/store-view.ts
+++ b/packages/gateway/src/control/store/store-view.ts
@@ -17,21 +17,28 @@
 import { BoardPublisher } from './board-publisher.js';
 import { isOlderDocument } from './document-order.js';
 import type { DocumentReader } from './document-reader.js';
-import type { HeldDocument, HeldRecord, StoreDocument } from './held-documents.js';
-import { HeldDocuments, isRecord } from './held-documents.js';
+import type { CachedDocument, CachedRecord, StoreDocument } from './document-cache.js';
+import { DocumentCache, isRecord } from './document-cache.js';
 import type { StoreCondition, StoreEvent, StoreItem, StoreRange } from './metadata-store.js';
-import { keptForMs, OlderCopies, unusedForMs } from './older-copies.js';
-import { PresentEra } from './present-era.js';
-import type { RemovedKey } from './removed-keys.js';
-import { RemovedKeys } from './removed-keys.js';
-import type { DutyRecord } from './store-documents.js';
-import { DUTY_KEY, eraKey, groupOfKey, hostKey, hostOfKey, OWN_PREFIX } from './store-documents.js';
+import { retainMissingForMs, StaleVersions, ignoreStaleForMs } from './stale-versions.js';
+import { CurrentEra } from './current-era.js';
+import type { Tombstone } from './tombstones.js';
+import { Tombstones } from './tombstones.js';
+import type { PromotionLeaseRecord } from './store-documents.js';
+import {
+  PROMOTION_LEASE_KEY,
+  eraKey,
+  groupOfKey,
+  hostKey,
+  hostOfKey,
+  OWN_PREFIX,
+} from './store-documents.js';
 import type { OwnChanges, ViewDelta } from './view-delta.js';
-import { DeltaSource } from './view-delta.js';
+import { DeltaBuilder } from './view-delta.js';
 
 /** The duty record with what is needed to replace it and to wait it out. */
-export interface HeldDuty {
-  readonly duty: DutyRecord;
+export interface HeldPromotionLease {
+  readonly duty: PromotionLeaseRecord;
   /** Local time at which this version was first seen. */
   readonly seenAt: number;
 }
@@ -66,8 +73,8 @@
 export class StoreView {
   /** Position of the store up to which this view is complete; the start before the first read. */
   position = STORE_START;
-  duty: HeldDuty | undefined;
-  readonly presentEra: PresentEra;
+  duty: HeldPromotionLease | undefined;
+  readonly currentEra: CurrentEra;
   private currentAt = Number.NEGATIVE_INFINITY;
   private hostGoneAt: number;
   private ownKnown = STORE_START;
@@ -77,10 +84,10 @@
   private reviewNotBefore = Number.NEGATIVE_INFINITY;
   /** Whether no newer configuration than what the store shows is waited for any more. */
   private takesAnyCatalog = false;
-  private readonly held = new HeldDocuments();
-  private readonly copies = new OlderCopies();
-  private readonly removed = new RemovedKeys();
-  private readonly deltas = new DeltaSource(this.held, this.copies, this.removed);
+  private readonly held = new DocumentCache();
+  private readonly copies = new StaleVersions();
+  private readonly removed = new Tombstones();
+  private readonly deltas = new DeltaBuilder(this.held, this.copies, this.removed);
   private readonly publisher: BoardPublisher;
   private readonly board: GatewayBoard;
   private readonly reader: DocumentReader;
@@ -93,15 +100,15 @@
     this.log = log;
     this.publisher = new BoardPublisher(board, this.held, log, lapse, {
       isMissing: (key) => this.isMissing(key),
-      oldestCatalog: (position) => this.oldestCatalog(position),
+      minimumCatalogVersion: (position) => this.oldestCatalog(position),
     });
     this.hostGoneAt = startedAt;
-    this.presentEra = new PresentEra(board, metrics, log, startedAt);
+    this.currentEra = new CurrentEra(board, metrics, log, startedAt);
     this.keptSince = startedAt;
   }
 
   /** Whether everything was read once. */
-  get hasRead(): boolean {
+  get hasLoaded(): boolean {
     return this.position.revision > 0;
   }
 
@@ -111,18 +118,18 @@
   }
 
   /** Whether the present era of the store is marked as one that holds all that was acted on before it. */
-  get isOpened(): boolean {
+  get isEraOpened(): boolean {
     const { era } = this.ownPosition;
     return era === STORE_START.era || this.has(eraKey(era));
   }
 
   /** Whether what the store shows of the gateway's own documents can be relied on. */
-  get isSettled(): boolean {
-    return this.isOpened && !this.held.recordEras.hasBefore(this.ownPosition.era);
+  get isEraSettled(): boolean {
+    return this.isEraOpened && !this.held.recordEras.hasBefore(this.ownPosition.era);
   }
 
   /** The records that the present era of the store lacks, or has older versions of. */
-  get lostRecords(): readonly HeldRecord[] {
+  get lostRecords(): readonly CachedRecord[] {
     return this.held.all.filter(isRecord).filter(({ item }) => this.isLost(item.key));
   }
 
@@ -153,7 +160,7 @@
   }
 
   /** Latest local time at which the documents held were surely those of the store; -Infinity before. */
-  get currentSince(): number {
+  get lastCurrentAt(): number {
     return this.currentAt;
   }
 
@@ -163,13 +170,13 @@
   }
 
   /** Notes that the documents held were those of the store at local time `at`. */
-  noteCurrent(at: number): void {
+  markCurrent(at: number): void {
     this.currentAt = Math.max(this.currentAt, at);
     this.board.catalogConfirmedAt = this.currentAt;
   }
 
   /** Latest local time at which a host may have been taken off the list, as far as this view knows. */
-  get hostLastGoneAt(): number {
+  get lastHostRemovalAt(): number {
     return this.hostGoneAt;
   }
 
@@ -184,7 +191,7 @@
   }
 
   /** Waits until all of the gateway's own documents up to `position` are held, `timeoutMs` at most. */
-  async waitForOwn(position: StorePosition, timeoutMs: number): Promise<void> {
+  async waitForOwnDocuments(position: StorePosition, timeoutMs: number): Promise<void> {
     const until = performance.now() + timeoutMs;
     while (isLater(position, this.ownPosition) && performance.now() < until) {
       await pause(WAIT_STEP_MS);
@@ -192,7 +199,7 @@
   }
 
   /** Whether this view is complete up to a key's latest change. */
-  holdsAllUpTo(key: string): boolean {
+  isCompleteUpTo(key: string): boolean {
     return !isLater(this.held.positionOf(key) ?? STORE_START, this.position);
   }
 
@@ -212,15 +219,15 @@
     }
     for (const item of ownFirst(range.items)) this.write(item, now);
     if (prefix === '') this.noteComplete(range.position);
-    if (prefix === OWN_PREFIX) this.noteOwnComplete(range.position);
+    if (prefix === OWN_PREFIX) this.markOwnComplete(range.position);
     this.publisher.publish();
-    this.presentEra.noteTaken();
+    this.currentEra.markLoaded();
   }
 
   /** The records of primaries and the duty, as stored. */
   recordItems(): readonly StoreItem[] {
     const isRecordKey = (key: string): boolean => groupOfKey(key) !== undefined;
-    return this.held.items.filter(({ key }) => isRecordKey(key) || key === DUTY_KEY);
+    return this.held.items.filter(({ key }) => isRecordKey(key) || key === PROMOTION_LEASE_KEY);
   }
 
   /** What has changed of the gateway's own documents since `since`; undefined if that is not known. */
@@ -234,7 +241,7 @@
   }
 
   /** Takes what another host passed on. */
-  merge(delta: ViewDelta, now: number): void {
+  applyDelta(delta: ViewDelta, now: number): void {
     if (delta.complete) {
       this.replace('', delta, now);
       return;
@@ -243,38 +250,38 @@
       ...delta.items.map((item) => ({ kind: 'written' as const, item })),
       ...delta.removed.map((removal) => ({ kind: 'removed' as const, ...removal })),
     ];
-    this.apply(events, delta.position, now);
+    this.applyEvents(events, delta.position, now);
   }
 
   /** Applies single items that others pushed, without knowing what lies between. */
-  takeItems(items: readonly StoreItem[], now: number): void {
+  applyItems(items: readonly StoreItem[], now: number): void {
     for (const item of items) this.write(item, now);
     this.publisher.publish();
   }
 
   /** Takes what another host told of the gateway's own documents, for the position that was asked about. */
-  takeOwn(changes: OwnChanges, now: number): void {
+  applyOwnChanges(changes: OwnChanges, now: number): void {
     this.noteEra(OWN_PREFIX, changes.position, now);
     for (const item of changes.items) this.write(item, now);
     for (const removal of changes.removed) this.removeOlder(removal, now);
-    this.noteOwnComplete(changes.position);
+    this.markOwnComplete(changes.position);
     this.publisher.publish();
-    this.presentEra.noteTaken();
+    this.currentEra.markLoaded();
   }
 
   /** Notes that the gateway's own documents held are all that there were at `position`. */
-  noteOwnComplete(position: StorePosition): void {
+  markOwnComplete(position: StorePosition): void {
     this.ownKnown = laterOf(this.ownKnown, position);
   }
 
   /** Notes that nothing but own documents, which are held, has changed up to `position`. */
-  noteNothingElse(position: StorePosition): void {
+  markOnlyOwnChanged(position: StorePosition): void {
     const known = isLater(position, this.ownKnown) ? this.ownKnown : position;
     this.position = laterOf(this.position, known);
   }
 
   /** Applies what a watch brought, or what another host told of the same era. */
-  apply(events: readonly StoreEvent[], position: StorePosition, now: number): void {
+  applyEvents(events: readonly StoreEvent[], position: StorePosition, now: number): void {
     for (const event of events) {
       if (event.kind === 'written') this.write(event.item, now);
       else this.removeOlder(event, now);
@@ -284,9 +291,9 @@
   }
 
   /** Looks at the upstreams whose entries are missing, and at what is kept against the store's word. */
-  review(now: number): void {
+  expireDocuments(now: number): void {
     const current = now - this.currentAt < OUTDATED_AFTER_MS;
-    this.publisher.review(current, now);
+    this.publisher.updateExpiredUpstreams(current, now);
     if (current) this.reviewKept(now);
     else this.keptSince = now;
     this.publisher.publish();
@@ -301,17 +308,17 @@
     this.reviewNotBefore = now + KEPT_REVIEW_MS;
     const keptMs = now - this.keptSince;
     for (const { document, item } of this.copies.all) {
-      if (keptMs < unusedForMs(document)) continue;
+      if (keptMs < ignoreStaleForMs(document)) continue;
       this.log.info('store-copy-taken', { key: item.key, kept_ms: Math.round(keptMs) });
       this.take(document, this.held.get(item.key), item, now);
     }
     if (keptMs >= CATALOG_MS) {
       this.takesAnyCatalog = true;
-      this.publisher.reviewCatalog();
+      this.publisher.retryCatalog();
     }
     for (const document of this.held.all) {
       const { key } = document.item;
-      if (keptMs < keptForMs(document) || !this.isMissing(key)) continue;
+      if (keptMs < retainMissingForMs(document) || !this.isMissing(key)) continue;
       this.log.info('kept-document-dropped', { key, kept_ms: Math.round(keptMs) });
       this.remove({ key, position: this.ownPosition }, now);
     }
@@ -338,8 +345,8 @@
     if (prefix === '' && era > this.position.era) this.keptSince = now;
     const former = this.ownPosition;
     if (era <= former.era) return;
-    this.presentEra.begin(era, former, now);
-    this.copies.forgetBefore(era);
+    this.currentEra.begin(era, former, now);
+    this.copies.deleteBefore(era);
   }
 
   /** A key that a read did not show: it is gone, unless only the present era has lost it. */
@@ -349,7 +356,7 @@
     const kind = this.held.get(key)?.kind;
     const endsByItself = kind === undefined || kind === 'upstream' || kind === 'era';
     if (heldAt.era === position.era || endsByItself) this.remove({ key, position }, now);
-    else if (key === hostKey(this.board.host)) this.publisher.noteOwnEntryLost();
+    else if (key === hostKey(this.board.host)) this.publisher.markOwnEntryLost();
   }
 
   private write(item: StoreItem, now: number): void {
@@ -374,7 +381,7 @@
    */
   private weigh(
     document: StoreDocument,
-    former: HeldDocument | undefined,
+    former: CachedDocument | undefined,
     item: StoreItem,
     now: number,
   ): void {
@@ -420,7 +427,7 @@
   }
 
   /** An upstream that tells no birth has the one known of it. */
-  private withBirth(document: StoreDocument, former: HeldDocument | undefined): StoreDocument {
+  private withBirth(document: StoreDocument, former: CachedDocument | undefined): StoreDocument {
     if (document.kind !== 'upstream') return document;
     const { entry } = document;
     const known = former?.kind === 'upstream' ? former.entry : this.publisher.lapsedEntry(entry.id);
@@ -429,26 +436,26 @@
 
   private take(
     document: StoreDocument,
-    former: HeldDocument | undefined,
+    former: CachedDocument | undefined,
     item: StoreItem,
     now: number,
   ): void {
     const { key, position } = item;
-    if (this.held.isUnreadable(key)) this.publisher.takeUnreadableEnd(key);
+    if (this.held.isUnreadable(key)) this.publisher.clearUnreadable(key);
     this.copies.delete(key);
     // An evacuation is told by its key alone; its value may be long, and is neither kept nor passed on.
     this.held.put(document, document.kind === 'evacuation' ? { ...item, value: '' } : item);
-    if (document.kind === 'era') this.publisher.reviewCatalog();
+    if (document.kind === 'era') this.publisher.retryCatalog();
     if (document.kind === 'duty') this.duty = { duty: document.duty, seenAt: now };
-    this.publisher.take(document, former, position, now);
+    this.publisher.applyDocument(document, former, position, now);
   }
 
-  private takeUnreadable(item: StoreItem, former: HeldDocument | undefined, now: number): void {
+  private takeUnreadable(item: StoreItem, former: CachedDocument | undefined, now: number): void {
     const { key, position } = item;
     this.held.putUnreadable(item);
     if (former?.kind === 'upstream') this.held.discard(key);
-    if (key === DUTY_KEY) this.doubtDuty(position, now);
-    this.publisher.takeUnreadable(key, former, position, now);
+    if (key === PROMOTION_LEASE_KEY) this.doubtDuty(position, now);
+    this.publisher.applyUnreadable(key, former, position, now);
   }
 
   private doubtDuty(position: StorePosition, now: number): void {
@@ -467,27 +474,27 @@
   private noteComplete(position: StorePosition): void {
     if (!isLater(position, this.position)) return;
     this.position = position;
-    this.held.noteComplete(position);
-    this.removed.noteComplete(position);
+    this.held.markCompleteUpTo(position);
+    this.removed.markCompleteUpTo(position);
   }
 
   /** Removes a key unless it was written again after `removal`. */
-  private removeOlder(removal: RemovedKey, now: number): void {
+  private removeOlder(removal: Tombstone, now: number): void {
     const { key, position } = removal;
     const removedAt = this.removed.positionOf(key) ?? STORE_START;
     const heldAt = this.held.positionOf(key) ?? STORE_START;
     if (isLater(position, removedAt) && isLater(position, heldAt)) this.remove(removal, now);
   }
 
-  private remove(removal: RemovedKey, now: number): void {
+  private remove(removal: Tombstone, now: number): void {
     const { key, position } = removal;
     const isListing = hostOfKey(key) !== undefined && this.held.positionOf(key) !== undefined;
     if (isListing) this.hostGoneAt = now;
-    if (this.held.isUnreadable(key)) this.publisher.takeUnreadableEnd(key);
-    const held = this.held.drop(key, position);
+    if (this.held.isUnreadable(key)) this.publisher.clearUnreadable(key);
+    const held = this.held.remove(key, position);
     this.copies.delete(key);
     this.removed.add(removal);
-    if (held !== undefined) this.publisher.takeRemoval(held, position, now);
+    if (held !== undefined) this.publisher.applyRemoval(held, position, now);
   }
 }
 
--- a/packages/gateway/src/control/store/removed-keys.ts
+++ b/packages/gateway/src/control/store/tombstones.ts
@@ -5,7 +5,7 @@
 import { isLater, laterOf, STORE_START } from '@gladespool/coordination';
 
 /** A key that was removed. */
-export interface RemovedKey {
+export interface Tombstone {
   readonly key: string;
   /** Where it was removed. */
   readonly position: StorePosition;
@@ -15,19 +15,19 @@
 const MAX_REMOVED = 500;
 
 /** The latest removals. */
-export class RemovedKeys {
+export class Tombstones {
   /** Position of a key's removal, the latest removals last. */
   private readonly positions = new Map<string, StorePosition>();
   /** Changes up to here are not all remembered as removals. */
   private completeSince = STORE_START;
 
   /** The removals remembered, the latest last. */
-  get all(): readonly RemovedKey[] {
+  get all(): readonly Tombstone[] {
     return [...this.positions].map(([key, position]) => ({ key, position }));
   }
 
   /** Whether every removal after `position` is remembered. */
-  reachesBackTo(position: StorePosition): boolean {
+  coversChangesSince(position: StorePosition): boolean {
     return position.revision > 0 && !isLater(this.completeSince, position);
   }
 
@@ -37,7 +37,7 @@
   }
 
   /** Remembers a removal; the oldest one is forgotten where there are too many. */
-  add({ key, position }: RemovedKey): void {
+  add({ key, position }: Tombstone): void {
     this.positions.delete(key);
     this.positions.set(key, position);
     if (this.positions.size <= MAX_REMOVED) return;
@@ -48,7 +48,7 @@
   }
 
   /** After a complete read, removals before it are not known one by one. */
-  noteComplete(position: StorePosition): void {
+  markCompleteUpTo(position: StorePosition): void {
     this.completeSince = laterOf(this.completeSince, position);
   }
 }
--- a/packages/gateway/src/control/store/view-delta.ts
+++ b/packages/gateway/src/control/store/view-delta.ts
@@ -3,10 +3,10 @@
  */
 import type { StorePosition } from '@gladespool/coordination';
 import { isLater } from '@gladespool/coordination';
-import type { HeldDocuments } from './held-documents.js';
+import type { DocumentCache } from './document-cache.js';
 import type { StoreItem } from './metadata-store.js';
-import type { OlderCopies } from './older-copies.js';
-import type { RemovedKey, RemovedKeys } from './removed-keys.js';
+import type { StaleVersions } from './stale-versions.js';
+import type { Tombstone, Tombstones } from './tombstones.js';
 import { OWN_PREFIX } from './store-documents.js';
 
 /** What another host is missing. */
@@ -16,7 +16,7 @@
   /** Position up to which the other host is complete with it. */
   readonly position: StorePosition;
   readonly items: readonly StoreItem[];
-  readonly removed: readonly RemovedKey[];
+  readonly removed: readonly Tombstone[];
 }
 
 /** What has changed of the gateway's own documents since some position. */
@@ -24,7 +24,7 @@
   /** Position of the store up to which these and what was held before are all of them. */
   readonly position: StorePosition;
   readonly items: readonly StoreItem[];
-  readonly removed: readonly RemovedKey[];
+  readonly removed: readonly Tombstone[];
 }
 
 /** A change with the position at which it was made. */
@@ -34,16 +34,16 @@
 }
 
 /** Works out what others lack. */
-export class DeltaSource {
+export class DeltaBuilder {
   constructor(
-    private readonly held: HeldDocuments,
-    private readonly copies: OlderCopies,
-    private readonly removed: RemovedKeys,
+    private readonly held: DocumentCache,
+    private readonly copies: StaleVersions,
+    private readonly removed: Tombstones,
   ) {}
 
   /** What has changed of the gateway's own documents from `since` to `position`; undefined if not known. */
   ownChanges(since: StorePosition, position: StorePosition): OwnChanges | undefined {
-    if (!this.removed.reachesBackTo(since)) return undefined;
+    if (!this.removed.coversChangesSince(since)) return undefined;
     if (!isLater(this.held.ownNewest, since)) return { position, items: [], removed: [] };
     return {
       position,
@@ -53,7 +53,7 @@
 
   /** What a host lacks that is complete up to `since`, from a host that is complete up to `position`. */
   delta(since: StorePosition, position: StorePosition): ViewDelta {
-    if (this.removed.reachesBackTo(since)) {
+    if (this.removed.coversChangesSince(since)) {
       const changes = this.changes((change) => isLater(change.position, since));
       return { complete: false, position, ...changes };
     }
--- a/packages/gateway/src/entry/isolation-guard.ts
+++ b/packages/gateway/src/entry/isolation-guard.ts
@@ -52,7 +52,7 @@
   private noteIsolated(now: number): void {
     if (this.since !== undefined) return;
     this.since = now;
-    const age = Math.round(now - this.options.board.provenSince);
+    const age = Math.round(now - this.options.board.latestProofAt);
     this.options.log.info('isolated', { proof_age_ms: age });
   }
 
--- a/packages/gateway/src/entry/request-journal.ts
+++ b/packages/gateway/src/entry/request-journal.ts
@@ -57,7 +57,7 @@
       epoch: record?.epoch,
       phase: record?.phase,
       primary: record?.primary,
-      proof_age_ms: Math.round(performance.now() - board.provenSince),
+      proof_age_ms: Math.round(performance.now() - board.latestProofAt),
     };
   }
 
--- a/packages/gateway/src/entry/session.ts
+++ b/packages/gateway/src/entry/session.ts
@@ -26,8 +26,8 @@
 import type { OperationLimits } from '../limits/operation-limits.js';
 import type { Route } from '../model/catalog.js';
 import type { Outcome } from '../model/outcome.js';
-import { DONE, NOT_RUN, refused } from '../model/outcome.js';
-import type { PreparedShape, Statement, Work } from '../model/statement.js';
+import { DONE, NOT_RUN_FAULTS, refused } from '../model/outcome.js';
+import type { PreparedStatement, Statement, Work } from '../model/statement.js';
 import { StatementKind } from '../model/statement.js';
 import type { RequestJournal } from './request-journal.js';
 
@@ -79,7 +79,7 @@
 /** Session of one caller. */
 export class Session {
   private readonly values = new Map<string, string>();
-  private readonly prepared = new Map<string, PreparedShape>();
+  private readonly prepared = new Map<string, PreparedStatement>();
   private readonly own = new Map<GroupId, SessionPosition>();
   private open: OpenState | undefined;
   private idleTimer: NodeJS.Timeout | undefined;
@@ -341,7 +341,7 @@
     case 'completed':
       return true;
     case 'faulted':
-      return !NOT_RUN.has(outcome.fault);
+      return !NOT_RUN_FAULTS.has(outcome.fault);
     case 'refused':
       if (outcome.refusal.reason === RefusalReason.UpstreamLostReading) return true;
       return executionStatusOf(outcome.refusal) !== ExecutionStatus.No;
--- a/packages/gateway/src/forward/mark-exchange.ts
+++ b/packages/gateway/src/forward/mark-exchange.ts
@@ -75,7 +75,7 @@
     const sentAt = performance.now();
     this.askedAt.set(group, sentAt);
     const { epoch } = record;
-    const answer = await calls.ask(
+    const answer = await calls.request(
       peer,
       (id) => ({ kind: FrameKind.WatermarkRequest, id, group, epoch }),
       FETCH_TIMEOUT_MS,
--- a/packages/gateway/src/forward/remote-executor.ts
+++ b/packages/gateway/src/forward/remote-executor.ts
@@ -30,7 +30,7 @@
 /** Work on one other host. */
 export class RemoteExecutor {
   constructor(
-    private readonly calls: Pick<PeerCalls, 'ask' | 'tell'>,
+    private readonly calls: Pick<PeerCalls, 'request' | 'notify'>,
     private readonly peer: PeerAddress,
   ) {}
 
@@ -64,7 +64,7 @@
   /** Asks the other host. */
   async ask(fields: AskFields, timeoutMs: number): Promise<Result<ForwardReply, GladespoolError>> {
     const build = (id: number) => ({ kind: FrameKind.ForwardRequest, id, ...fields }) as const;
-    const answer = await this.calls.ask(this.peer, build, timeoutMs + SLACK_MS, {
+    const answer = await this.calls.request(this.peer, build, timeoutMs + SLACK_MS, {
       linkTimeoutMs: LINK_TIMEOUT_MS,
     });
     return answer.andThen((frame) => this.expectReply(frame));
@@ -78,7 +78,7 @@
 
   /** Tells the other host to roll a transaction back. */
   rollBack(transaction: number): void {
-    void this.calls.tell(this.peer, { kind: FrameKind.ForwardRollback, transaction });
+    void this.calls.notify(this.peer, { kind: FrameKind.ForwardRollback, transaction });
   }
 }
 
--- a/packages/gateway/src/forward/routed-executor.ts
+++ b/packages/gateway/src/forward/routed-executor.ts
@@ -25,7 +25,7 @@
 import type { Outcome } from '../model/outcome.js';
 import { accessOf } from '../model/statement.js';
 import type { HomeDirectory } from '../knowledge/home-directory.js';
-import type { ReachNotes } from '../knowledge/reach-notes.js';
+import type { ReachabilityReports } from '../knowledge/reachability-reports.js';
 import { RemoteExecutor } from './remote-executor.js';
 
 /** What the routing works with. */
@@ -35,7 +35,7 @@
   readonly home: (group: GroupId) => GroupHome;
   readonly calls: PeerCalls;
   readonly directory: HomeDirectory;
-  readonly reach: ReachNotes;
+  readonly reach: ReachabilityReports;
   readonly metrics: HostMetrics;
   readonly log: Logger;
   /** Local time at which this host started. */
@@ -168,13 +168,16 @@
     if (reason !== RefusalReason.UpstreamUnreachable) return [];
     // A host that is no home has asked homes already, before it tried itself.
     const near = directory.isHome(group) ? this.homesOfZone(group) : [];
-    return this.addresses([...near, ...directory.homesElsewhere(group, this.options.board.host)]);
+    return this.addresses([
+      ...near,
+      ...directory.homesInOtherZones(group, this.options.board.host),
+    ]);
   }
 
   /** Homes of the own zone but this host. */
   private homesOfZone(group: GroupId): readonly HostId[] {
     const { board, directory } = this.options;
-    return directory.homesFor(group, board.host).filter((host) => host !== board.host);
+    return directory.homesInZone(group, board.host).filter((host) => host !== board.host);
   }
 
   private noteFailed(job: Job, peer: PeerAddress, reason: RefusalReason): void {
@@ -182,7 +185,7 @@
     const { group } = job.route;
     metrics.retries.inc({ reason: RetryReason.PeerUnreachable });
     log.info('detour-failed', { request: job.id, group, via: peer.host, reason });
-    reach.forget(group, peer.host as HostId);
+    reach.remove(group, peer.host as HostId);
   }
 
   /** Other hosts to ask first, the best one first; none when this host does it itself. */
@@ -195,14 +198,14 @@
     const { group } = job.route;
     const reaching = goesToPrimary ? this.reachingPrimary(group, now) : [];
     if (reaching.length > 0) return this.addresses(reaching);
-    return this.addresses(directory.homesBefore(group, job.workspace, onlyPrimary));
+    return this.addresses(directory.preferredHomes(group, job.workspace, onlyPrimary));
   }
 
   /** Hosts that are known to reach the primary while this one misses it. */
   private reachingPrimary(group: GroupId, now: number): readonly HostId[] {
     const { reach } = this.options;
     const home = this.options.home(group);
-    return home.missesPrimary(now) ? reach.reaching(group, home.record?.epoch, now) : [];
+    return home.missesPrimary(now) ? reach.hostsReaching(group, home.record?.epoch, now) : [];
   }
 
   private addresses(hosts: readonly HostId[]): readonly PeerAddress[] {
--- a/packages/gateway/src/gateway-host.ts
+++ b/packages/gateway/src/gateway-host.ts
@@ -12,7 +12,7 @@
 import { ControlPlane } from './control/control-plane.js';
 import type { MetadataStore } from './control/store/metadata-store.js';
 import type { PromotionPort } from './control/promotion/promotion-call.js';
-import type { ForeignDocuments } from './control/store/foreign-documents.js';
+import type { ForeignDocumentReader } from './control/store/foreign-documents.js';
 import { WriteHolds } from './knowledge/write-holds.js';
 import type { CallerCodec } from './entry/caller-codec.js';
 import { CallerServer } from './entry/caller-server.js';
@@ -20,19 +20,19 @@
 import { RequestJournal } from './entry/request-journal.js';
 import { ForwardService } from './forward/forward-service.js';
 import { HomeDirectory } from './knowledge/home-directory.js';
-import { ReachNotes } from './knowledge/reach-notes.js';
+import { ReachabilityReports } from './knowledge/reachability-reports.js';
 import { MarkedExecutor, MarkExchange } from './forward/mark-exchange.js';
 import { RoutedExecutor } from './forward/routed-executor.js';
 import type { GatewayRules } from './gateway-rules.js';
 import { AllowanceKeeper } from './limits/allowance-keeper.js';
-import { KeeperDirectory } from './knowledge/keeper-directory.js';
+import { AllowanceOwnerDirectory } from './knowledge/allowance-owner-directory.js';
 import type { OperationLimits } from './limits/operation-limits.js';
 import { FleetLimits } from './limits/operation-limits.js';
 import type { GroupHome } from './home/group-home.js';
 import type { Executor } from './home/job.js';
 import { LocalExecutor } from './home/local-executor.js';
-import { PromotionPace } from './knowledge/promotion-pace.js';
-import type { UpstreamDriver } from './model/upstream-wire.js';
+import { PromotionTracker } from './knowledge/promotion-tracker.js';
+import type { UpstreamDriver } from './model/upstream-driver.js';
 
 /** What a gateway host is made of. */
 export interface GatewayOptions {
@@ -41,7 +41,7 @@
   readonly topology?: Topology;
   readonly callers: { readonly address: string; readonly port: number };
   readonly store: MetadataStore;
-  readonly documents: ForeignDocuments;
+  readonly documents: ForeignDocumentReader;
   readonly driver: UpstreamDriver;
   readonly promotions: PromotionPort;
   readonly createCodec: () => CallerCodec;
@@ -64,7 +64,7 @@
   private readonly log: Logger;
   private readonly holds: WriteHolds;
   private readonly directory: HomeDirectory;
-  private readonly reach = new ReachNotes();
+  private readonly reach = new ReachabilityReports();
   private readonly executor: LocalExecutor;
   private readonly control: ControlPlane;
   private readonly callers: CallerServer;
@@ -153,7 +153,7 @@
       driver,
       rules: rules.home,
       holds: this.holds,
-      pace: new PromotionPace(this.board, performance.now()),
+      pace: new PromotionTracker(this.board, performance.now()),
       directory: this.directory,
       reach: this.reach,
       random: new SeededRandom(seed),
@@ -192,7 +192,7 @@
     const { rules, self, metrics } = this.options;
     const { tolerance } = rules;
     const { board } = this;
-    const directory = new KeeperDirectory(board, performance.now());
+    const directory = new AllowanceOwnerDirectory(board, performance.now());
     const { calls, network } = this.control;
     const keeper = new AllowanceKeeper({
       board,
--- a/packages/gateway/src/home/exchange.ts
+++ b/packages/gateway/src/home/exchange.ts
@@ -14,8 +14,8 @@
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 import type { Work } from '../model/statement.js';
-import type { UpstreamAnswer, UpstreamCommand } from '../model/upstream-wire.js';
-import { WireLoss } from '../model/upstream-wire.js';
+import type { UpstreamAnswer, UpstreamCommand } from '../model/upstream-driver.js';
+import { ConnectionLoss } from '../model/upstream-driver.js';
 import type { GroupHome } from './group-home.js';
 import { poolPriority } from './group-home.js';
 import type { Job } from './job.js';
@@ -160,7 +160,7 @@
   if (answer.kind === 'lost') return answer;
   if (!home.noteLostLog(slot.entry.id, floor, answer.position)) return answer;
   lease.connection.close();
-  return { kind: 'lost', loss: WireLoss.Closed };
+  return { kind: 'lost', loss: ConnectionLoss.Closed };
 }
 
 /** Counts and tells where a caller's statement ran, behind and at which position, under which record and proof, and its end. */
@@ -190,7 +190,7 @@
     at: answer.kind === 'lost' ? undefined : answer.position && formatPosition(answer.position),
     end: endOf(answer),
     ms: Math.round(now - sentAt),
-    proof_age_ms: isPrimary ? Math.round(now - home.context.board.provenSince) : undefined,
+    proof_age_ms: isPrimary ? Math.round(now - home.context.board.latestProofAt) : undefined,
   });
 }
 
--- a/packages/gateway/src/home/group-home.ts
+++ b/packages/gateway/src/home/group-home.ts
@@ -36,11 +36,11 @@
 import type { GatewayBoard } from '../knowledge/board.js';
 import type { WriteHolds } from '../knowledge/write-holds.js';
 import type { HomeDirectory } from '../knowledge/home-directory.js';
-import type { ReachNotes } from '../knowledge/reach-notes.js';
+import type { ReachabilityReports } from '../knowledge/reachability-reports.js';
 import type { UpstreamEntry } from '../model/catalog.js';
-import type { UpstreamAnswer, UpstreamDriver } from '../model/upstream-wire.js';
+import type { UpstreamAnswer, UpstreamDriver } from '../model/upstream-driver.js';
 import type { Job } from './job.js';
-import type { PromotionPace } from '../knowledge/promotion-pace.js';
+import type { PromotionTracker } from '../knowledge/promotion-tracker.js';
 import { PrimaryLead } from './primary-lead.js';
 import { UpstreamSlot } from './upstream-slot.js';
 
@@ -76,9 +76,9 @@
   readonly driver: UpstreamDriver;
   readonly rules: HomeRules;
   readonly holds: WriteHolds;
-  readonly pace: PromotionPace;
+  readonly pace: PromotionTracker;
   readonly directory: HomeDirectory;
-  readonly reach: ReachNotes;
+  readonly reach: ReachabilityReports;
   readonly random: RandomSource;
   /** Time within which upstreams of an evacuated zone get no work any more, milliseconds. */
   readonly evacuationMs: number;
@@ -150,13 +150,13 @@
     const { board, rules, pace } = this.context;
     const { record } = this;
     const { proofTtlMs } = rules.authority;
-    const lapsedAt = Math.max(board.provenSince + proofTtlMs, pace.startedAt);
+    const lapsedAt = Math.max(board.latestProofAt + proofTtlMs, pace.startedAt);
     const view = {
       unprovedSince: board.isIsolated(now, rules.authority) ? lapsedAt : undefined,
       claimedAt: pace.claimedAt(this.group),
       failingSince: this.deposedSince ?? (record && this.slot(record.primary)?.health.failingSince),
     };
-    const { promotionMs } = pace;
+    const { expectedPromotionMs: promotionMs } = pace;
     return expectedOutageEnd(view, { promotionMs, ...rules.gap }, now);
   }
 
@@ -174,7 +174,7 @@
 
   /** Whether another host is known to reach the primary. */
   hasDetour(now: number): boolean {
-    return this.context.reach.reaching(this.group, this.record?.epoch, now).length > 0;
+    return this.context.reach.hostsReaching(this.group, this.record?.epoch, now).length > 0;
   }
 
   /** Whether an answer of an upstream that arrived at `now` counts as that of the primary. */
--- a/packages/gateway/src/home/local-executor.ts
+++ b/packages/gateway/src/home/local-executor.ts
@@ -7,7 +7,7 @@
 import { err } from 'neverthrow';
 import { BoardSection } from '../knowledge/board.js';
 import type { Outcome } from '../model/outcome.js';
-import { NOT_RUN, refused } from '../model/outcome.js';
+import { NOT_RUN_FAULTS, refused } from '../model/outcome.js';
 import { accessOf } from '../model/statement.js';
 import { awaitAuthority } from './await-authority.js';
 import type { HomeContext } from './group-home.js';
@@ -98,6 +98,6 @@
 
 /** A begin has run nothing yet, so it may be tried again; at the primary only if it shed it. */
 function mayTryAgain(last: Outcome, job: BeginJob): boolean {
-  if (last.kind === 'faulted') return job.readOnly && NOT_RUN.has(last.fault);
+  if (last.kind === 'faulted') return job.readOnly && NOT_RUN_FAULTS.has(last.fault);
   return job.readOnly && last.kind === 'refused';
 }
--- a/packages/gateway/src/home/pinned-transaction.ts
+++ b/packages/gateway/src/home/pinned-transaction.ts
@@ -7,8 +7,8 @@
 import type { Outcome } from '../model/outcome.js';
 import { refused } from '../model/outcome.js';
 import { accessOf } from '../model/statement.js';
-import type { UpstreamAnswer } from '../model/upstream-wire.js';
-import { WireLoss } from '../model/upstream-wire.js';
+import type { UpstreamAnswer } from '../model/upstream-driver.js';
+import { ConnectionLoss } from '../model/upstream-driver.js';
 import type { Borrowed } from './exchange.js';
 import { borrow, requiredPosition, send, tellsAsPrimary } from './exchange.js';
 import type { GroupHome, WatchedTransaction } from './group-home.js';
@@ -74,7 +74,7 @@
     private readonly borrowed: Borrowed,
     private readonly begin: BeginJob,
   ) {
-    this.leave = begin.readOnly ? () => undefined : home.context.holds.enter(home.group);
+    this.leave = begin.readOnly ? () => undefined : home.context.holds.trackWrite(home.group);
     home.transactions.add(this);
   }
 
@@ -186,7 +186,7 @@
 }
 
 /** A lost connection ends the transaction at the upstream as well. */
-function lostInside(loss: WireLoss): Outcome {
-  const detail = loss === WireLoss.Timeout ? 'no answer in time' : 'connection ended';
+function lostInside(loss: ConnectionLoss): Outcome {
+  const detail = loss === ConnectionLoss.Timeout ? 'no answer in time' : 'connection ended';
   return refused(RefusalReason.TransactionLost, detail);
 }
--- a/packages/gateway/src/home/prepared-connection.ts
+++ b/packages/gateway/src/home/prepared-connection.ts
@@ -4,8 +4,12 @@
  */
 import type { Position } from '@gladespool/coordination';
 import type { PoolConnection } from '@gladespool/pool';
-import type { PreparedShape, Work } from '../model/statement.js';
-import type { UpstreamAnswer, UpstreamCommand, UpstreamWire } from '../model/upstream-wire.js';
+import type { PreparedStatement, Work } from '../model/statement.js';
+import type {
+  UpstreamAnswer,
+  UpstreamCommand,
+  DriverConnection,
+} from '../model/upstream-driver.js';
 
 /** Session values by name. */
 export type SessionValues = ReadonlyMap<string, string>;
@@ -18,7 +22,7 @@
   private readonly values = new Map<string, string>();
   private readonly prepared = new Set<string>();
 
-  constructor(private readonly wire: UpstreamWire) {}
+  constructor(private readonly wire: DriverConnection) {}
 
   get usable(): boolean {
     return this.wire.usable;
@@ -93,6 +97,6 @@
 }
 
 /** Name of a shape on upstream connections, the same for every session. */
-function nameOf(prepared: PreparedShape): string {
+function nameOf(prepared: PreparedStatement): string {
   return `${prepared.access}_${prepared.shape}`;
 }
--- a/packages/gateway/src/home/read-flow.ts
+++ b/packages/gateway/src/home/read-flow.ts
@@ -11,7 +11,7 @@
 } from '@gladespool/coordination';
 import type { Outcome } from '../model/outcome.js';
 import { refused } from '../model/outcome.js';
-import type { UpstreamAnswer } from '../model/upstream-wire.js';
+import type { UpstreamAnswer } from '../model/upstream-driver.js';
 import { borrow, requiredPosition, send, tellsAsPrimary } from './exchange.js';
 import type { GroupHome } from './group-home.js';
 import type { StatementJob } from './job.js';
--- a/packages/gateway/src/home/upstream-probe.ts
+++ b/packages/gateway/src/home/upstream-probe.ts
@@ -5,7 +5,7 @@
 import type { GroupId, Position, UpstreamId } from '@gladespool/coordination';
 import { mayBeSameUpstream, Step, UpstreamFault } from '@gladespool/coordination';
 import type { UpstreamEntry } from '../model/catalog.js';
-import type { UpstreamDriver, UpstreamStatus, UpstreamWire } from '../model/upstream-wire.js';
+import type { UpstreamDriver, UpstreamStatus, DriverConnection } from '../model/upstream-driver.js';
 
 /** The status that an upstream told. */
 export interface StatusResult {
@@ -28,7 +28,7 @@
 const IDLE_MS = 1500;
 
 interface Channel {
-  readonly wire: UpstreamWire;
+  readonly wire: DriverConnection;
   /** Entry of the upstream that it was opened to. */
   readonly entry: UpstreamEntry;
   timer: NodeJS.Timeout;
@@ -65,7 +65,7 @@
   }
 
   private async askOn(
-    wire: UpstreamWire,
+    wire: DriverConnection,
     entry: UpstreamEntry,
     timeoutMs: number,
   ): Promise<ProbeResult> {
@@ -80,7 +80,7 @@
     return { kind: 'status', status, applied: answer.position };
   }
 
-  private takeChannel(entry: UpstreamEntry): UpstreamWire | undefined {
+  private takeChannel(entry: UpstreamEntry): DriverConnection | undefined {
     const channel = this.channels.get(entry.id);
     if (channel === undefined) return undefined;
     clearTimeout(channel.timer);
@@ -89,7 +89,7 @@
     return channel.wire.usable ? channel.wire : undefined;
   }
 
-  private keepChannel(entry: UpstreamEntry, wire: UpstreamWire): void {
+  private keepChannel(entry: UpstreamEntry, wire: DriverConnection): void {
     const { id } = entry;
     const held = this.channels.get(id);
     if (held !== undefined) {
--- a/packages/gateway/src/home/upstream-slot.ts
+++ b/packages/gateway/src/home/upstream-slot.ts
@@ -15,7 +15,7 @@
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 import type { UpstreamEntry } from '../model/catalog.js';
-import type { UpstreamDriver } from '../model/upstream-wire.js';
+import type { UpstreamDriver } from '../model/upstream-driver.js';
 import { PreparedConnection } from './prepared-connection.js';
 import { UpstreamHealth } from './upstream-health.js';
 
@@ -115,7 +115,7 @@
     const wire = await driver.connect(this.entry, group, connectTimeoutMs, workspace);
     if (wire.isErr()) return err(wire.error);
     onConnected();
-    if (noteLostLog(floor, wire.value.greeting)) {
+    if (noteLostLog(floor, wire.value.initialPosition)) {
       wire.value.close();
       const place = { step: Step.UpstreamConnect, peer: this.entry.id };
       return err(gladespoolError(place, 'the upstream has lost what it held'));
--- a/packages/gateway/src/home/write-flow.ts
+++ b/packages/gateway/src/home/write-flow.ts
@@ -5,8 +5,8 @@
 import { RefusalReason, RetryReason, UpstreamFault } from '@gladespool/coordination';
 import type { Outcome } from '../model/outcome.js';
 import { refused } from '../model/outcome.js';
-import type { UpstreamAnswer } from '../model/upstream-wire.js';
-import { WireLoss } from '../model/upstream-wire.js';
+import type { UpstreamAnswer } from '../model/upstream-driver.js';
+import { ConnectionLoss } from '../model/upstream-driver.js';
 import { awaitAuthority } from './await-authority.js';
 import type { Borrowed } from './exchange.js';
 import { borrow, send, tellsAsPrimary } from './exchange.js';
@@ -45,7 +45,7 @@
   }
   const command = lease.connection.commandFor(job.work, job.id, undefined);
   const leftMs = job.arrivedAt + job.route.timeoutMs - performance.now();
-  const leave = home.context.holds.enter(home.group);
+  const leave = home.context.holds.trackWrite(home.group);
   const { answer } = await send(home, borrowed, command, leftMs);
   leave();
   if (answer.kind === 'faulted' && answer.fault === UpstreamFault.UnknownStatement) {
@@ -75,7 +75,7 @@
 /** Outcome of a commit or single write, given what came back. */
 export function confirmed(home: GroupHome, borrowed: Borrowed, answer: UpstreamAnswer): Outcome {
   if (answer.kind === 'lost') {
-    const timedOut = answer.loss === WireLoss.Timeout;
+    const timedOut = answer.loss === ConnectionLoss.Timeout;
     return refused(timedOut ? RefusalReason.StatementTimeout : RefusalReason.UpstreamLost);
   }
   if (answer.kind === 'faulted') {
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,6 +1,6 @@
 export * from './knowledge/board.js';
 export * from './control/store/document-reader.js';
-export * from './control/store/document-reading.js';
+export * from './control/store/document-read-result.js';
 export * from './control/store/foreign-documents.js';
 export * from './control/store/metadata-store.js';
 export * from './control/promotion/promotion-call.js';
@@ -27,4 +27,4 @@
 export * from './model/catalog.js';
 export * from './model/outcome.js';
 export * from './model/statement.js';
-export * from './model/upstream-wire.js';
+export * from './model/upstream-driver.js';
--- a/packages/gateway/src/knowledge/keeper-directory.ts
+++ b/packages/gateway/src/knowledge/allowance-owner-directory.ts
@@ -12,22 +12,22 @@
  * Hosts for each keeper. Every operation asks once, so a keeper answers for eight hosts' operations: some
  * 2 % of a core at the ten operations a second of a small host, and a host holds few links to keepers.
  */
-const HOSTS_PER_KEEPER = 8;
+const HOSTS_PER_OWNER = 8;
 /** Keepers at least, so that the loss of one concerns a part of the workspaces only. */
-const LEAST_KEEPERS = 3;
+const MIN_OWNERS = 3;
 
 /** Keepers as this host sees them. */
-export class KeeperDirectory {
+export class AllowanceOwnerDirectory {
   private keepers: readonly HostId[] = [];
   private readonly byWorkspace = new Map<WorkspaceId, readonly HostId[]>();
   /** Local time since which the keepers are the present ones. */
-  since: number;
+  unchangedSince: number;
 
   constructor(
     private readonly board: GatewayBoard,
     startedAt: number,
   ) {
-    this.since = startedAt;
+    this.unchangedSince = startedAt;
     board.onChange(BoardSection.Hosts, () => {
       this.review(performance.now());
     });
@@ -37,7 +37,7 @@
    * The host that keeps the allowance of a workspace, and one of another zone that stands in for it; none
    * while no host is listed.
    */
-  keepersOf(workspace: WorkspaceId): readonly HostId[] {
+  ownersOf(workspace: WorkspaceId): readonly HostId[] {
     const held = this.byWorkspace.get(workspace);
     if (held !== undefined) return held;
     const [keeper, ...others] = rankCandidates(`allowance|${workspace}`, this.keepers);
@@ -52,11 +52,11 @@
 
   private review(now: number): void {
     const hosts = [...this.board.hosts.keys()];
-    const count = Math.max(LEAST_KEEPERS, Math.ceil(hosts.length / HOSTS_PER_KEEPER));
+    const count = Math.max(MIN_OWNERS, Math.ceil(hosts.length / HOSTS_PER_OWNER));
     const keepers = topCandidates('allowances', hosts, count);
     if (keepers.join() === this.keepers.join()) return;
     this.keepers = keepers;
     this.byWorkspace.clear();
-    this.since = now;
+    this.unchangedSince = now;
   }
 }
--- a/packages/gateway/src/knowledge/board.ts
+++ b/packages/gateway/src/knowledge/board.ts
@@ -50,7 +50,7 @@
   upstreams: ReadonlyMap<UpstreamId, UpstreamEntry> = new Map();
   hosts: ReadonlyMap<HostId, HostEntry> = new Map();
   /** Hosts on the list whose entries can't be read: they can't be asked, and count as silent ones. */
-  unknownHosts: ReadonlySet<HostId> = new Set();
+  unreadableHosts: ReadonlySet<HostId> = new Set();
   /**
    * Zones that the operators evacuate, with the latest local time at which this host surely knew the zone to be
    * in use; -Infinity where it never did.
@@ -100,13 +100,13 @@
     unknown: ReadonlySet<HostId> = new Set<HostId>(),
   ): void {
     this.hosts = hosts;
-    this.unknownHosts = unknown;
+    this.unreadableHosts = unknown;
     this.notify(BoardSection.Hosts);
   }
 
   /** Hosts of which more than half are a majority. */
-  get listedHosts(): number {
-    return this.hosts.size + this.unknownHosts.size;
+  get listedHostCount(): number {
+    return this.hosts.size + this.unreadableHosts.size;
   }
 
   /** Whether the configuration in force holds a group; before the first one, none is judged. */
@@ -129,20 +129,20 @@
   }
 
   /** Notes that the records held are those of a read sent at `sentAt`. */
-  prove(sentAt: number): void {
+  recordProof(sentAt: number): void {
     if (this.proofsEnded || sentAt <= this.provedAt) return;
     this.provedAt = sentAt;
     this.notify(BoardSection.Proof);
   }
 
   /** Gives every proof up, also those still to come, so that no primary is used any more. */
-  endProofs(): void {
+  revokeProofs(): void {
     this.proofsEnded = true;
     this.provedAt = Number.NEGATIVE_INFINITY;
   }
 
   /** Local time at which the read behind the newest proof was sent. */
-  get provenSince(): number {
+  get latestProofAt(): number {
     return this.provedAt;
   }
 
--- a/packages/gateway/src/knowledge/home-directory.ts
+++ b/packages/gateway/src/knowledge/home-directory.ts
@@ -92,7 +92,7 @@
    *
    * @param onlyPrimary whether the primary alone can run it
    */
-  homesBefore(
+  preferredHomes(
     group: GroupId,
     workspace: WorkspaceId | undefined,
     onlyPrimary: boolean,
@@ -102,7 +102,7 @@
       return onlyPrimary ? this.homesOfPrimary(group) : this.homesNearer(plan, this.board.az);
     }
     if (this.isHome(group)) return [];
-    const near = this.homesFor(group, this.board.host);
+    const near = this.homesInZone(group, this.board.host);
     if (workspace === undefined || !plan.isDedicated) return near;
     const all = homesOfWorkspace(plan, group, workspace);
     return [...near, ...all.filter((host) => !near.includes(host))];
@@ -132,13 +132,13 @@
   }
 
   /** Homes of the own zone in the order in which `host` asks them, so that hosts spread over them. */
-  homesFor(group: GroupId, host: HostId): readonly HostId[] {
+  homesInZone(group: GroupId, host: HostId): readonly HostId[] {
     const homes = this.plan(group).homes.get(this.board.az) ?? [];
     return rankCandidates(`entry|${host}`, homes);
   }
 
   /** Homes of the other zones in the order in which `host` asks them. */
-  homesElsewhere(group: GroupId, host: HostId): readonly HostId[] {
+  homesInOtherZones(group: GroupId, host: HostId): readonly HostId[] {
     const zones = [...this.plan(group).homes].filter(([az]) => az !== this.board.az);
     return rankCandidates(
       `entry|${host}`,
--- a/packages/gateway/src/knowledge/promotion-pace.ts
+++ b/packages/gateway/src/knowledge/promotion-tracker.ts
@@ -16,9 +16,9 @@
 }
 
 /** Pace of the promotions that one host has seen. */
-export class PromotionPace {
+export class PromotionTracker {
   /** Usual time from a claim to the next primary, milliseconds. */
-  promotionMs = FIRST_PROMOTION_MS;
+  expectedPromotionMs = FIRST_PROMOTION_MS;
   private readonly claims = new Map<GroupId, SeenClaim>();
 
   /** @param startedAt local time at which this host began to look for proofs */
@@ -44,7 +44,7 @@
       } else if (claim !== undefined) {
         this.claims.delete(group);
         if (claim.epoch === epoch) {
-          this.promotionMs = updatedPromotionMs(this.promotionMs, now - claim.at);
+          this.expectedPromotionMs = updatedPromotionMs(this.expectedPromotionMs, now - claim.at);
         }
       }
     }
--- a/packages/gateway/src/knowledge/reach-notes.ts
+++ b/packages/gateway/src/knowledge/reachability-reports.ts
@@ -13,7 +13,7 @@
 }
 
 /** Notes of one host. */
-export class ReachNotes {
+export class ReachabilityReports {
   private readonly notes = new Map<GroupId, ReachNote>();
 
   /** Notes who reaches the primary of `epoch`. */
@@ -22,14 +22,14 @@
   }
 
   /** Hosts that reach the primary of `epoch`, in the order in which they are to be asked. */
-  reaching(group: GroupId, epoch: number | undefined, now: number): readonly HostId[] {
+  hostsReaching(group: GroupId, epoch: number | undefined, now: number): readonly HostId[] {
     const note = this.notes.get(group);
     if (note === undefined || note.epoch !== epoch || now - note.at > COUNTS_MS) return [];
     return note.hosts;
   }
 
   /** Takes a host out that did not help. */
-  forget(group: GroupId, host: HostId): void {
+  remove(group: GroupId, host: HostId): void {
     const note = this.notes.get(group);
     if (note === undefined) return;
     this.notes.set(group, { ...note, hosts: note.hosts.filter((other) => other !== host) });
--- a/packages/gateway/src/knowledge/relay-order.ts
+++ b/packages/gateway/src/knowledge/relay-order.ts
@@ -38,7 +38,7 @@
   }
 
   /** Place of this host's zone among the zones; the store is read in that of place 0. */
-  get zonePlace(): number {
+  get zoneRank(): number {
     this.refresh();
     return Math.max(0, this.zones.indexOf(this.board.az));
   }
--- a/packages/gateway/src/knowledge/write-holds.ts
+++ b/packages/gateway/src/knowledge/write-holds.ts
@@ -27,7 +27,7 @@
   }
 
   /** Notes that a write or writing transaction begins; the result notes its end. */
-  enter(group: GroupId): () => void {
+  trackWrite(group: GroupId): () => void {
     this.inFlight.set(group, (this.inFlight.get(group) ?? 0) + 1);
     let over = false;
     return () => {
--- a/packages/gateway/src/limits/allowance-keeper.ts
+++ b/packages/gateway/src/limits/allowance-keeper.ts
@@ -17,12 +17,12 @@
 import type { Frame } from '@gladespool/protocol';
 import { FrameKind } from '@gladespool/protocol';
 import type { GatewayBoard } from '../knowledge/board.js';
-import type { KeeperDirectory } from '../knowledge/keeper-directory.js';
+import type { AllowanceOwnerDirectory } from '../knowledge/allowance-owner-directory.js';
 
 /** What a keeper works on. */
 export interface AllowanceKeeperOptions {
   readonly board: GatewayBoard;
-  readonly directory: Pick<KeeperDirectory, 'keepersOf' | 'since'>;
+  readonly directory: Pick<AllowanceOwnerDirectory, 'ownersOf' | 'unchangedSince'>;
   /** Whether another host answers this one, as far as is known at `now`. */
   readonly isReachable: (host: HostId, now: number) => boolean;
   readonly tolerance: LimitTolerance;
@@ -101,7 +101,7 @@
   noteHosts(): void {
     const { board, directory } = this.options;
     for (const workspace of this.kept.keys()) {
-      if (directory.keepersOf(workspace)[0] !== board.host) this.kept.delete(workspace);
+      if (directory.ownersOf(workspace)[0] !== board.host) this.kept.delete(workspace);
     }
   }
 
@@ -124,7 +124,7 @@
   ): Kept | undefined {
     switch (this.roleFor(workspace, now)) {
       case Role.Keeper: {
-        const since = Math.max(this.options.directory.since, this.provenSince);
+        const since = Math.max(this.options.directory.unchangedSince, this.provenSince);
         return this.held(this.kept, workspace, () => this.begin(limit, since, now));
       }
       case Role.StandIn: {
@@ -155,7 +155,7 @@
   private roleFor(workspace: WorkspaceId, now: number): Role {
     const { board, directory, authority, isReachable } = this.options;
     if (board.isIsolated(now, authority)) return Role.None;
-    const [keeper, standIn] = directory.keepersOf(workspace);
+    const [keeper, standIn] = directory.ownersOf(workspace);
     if (keeper === board.host) return Role.Keeper;
     if (standIn !== board.host || keeper === undefined) return Role.None;
     return isReachable(keeper, now) ? Role.None : Role.StandIn;
--- a/packages/gateway/src/limits/operation-limits.ts
+++ b/packages/gateway/src/limits/operation-limits.ts
@@ -15,7 +15,7 @@
 import type { GatewayBoard } from '../knowledge/board.js';
 import type { PeerCalls } from '../peering/peer-calls.js';
 import type { AllowanceKeeper, KeeperAnswer } from './allowance-keeper.js';
-import type { KeeperDirectory } from '../knowledge/keeper-directory.js';
+import type { AllowanceOwnerDirectory } from '../knowledge/allowance-owner-directory.js';
 
 /** Admits operations. */
 export interface OperationLimits {
@@ -34,9 +34,9 @@
 /** What the limits of a host work with. */
 export interface FleetLimitsOptions {
   readonly board: GatewayBoard;
-  readonly directory: Pick<KeeperDirectory, 'keepersOf'>;
+  readonly directory: Pick<AllowanceOwnerDirectory, 'ownersOf'>;
   readonly keeper: Pick<AllowanceKeeper, 'ask'>;
-  readonly calls: Pick<PeerCalls, 'ask' | 'isReachable'>;
+  readonly calls: Pick<PeerCalls, 'request' | 'isReachable'>;
   readonly tolerance: LimitTolerance;
   readonly metrics: HostMetrics;
 }
@@ -128,7 +128,7 @@
   /** Asks the keeper, and its stand-in if the keeper gives no answer. */
   private async ask(workspace: WorkspaceId, wanted: number): Promise<KeeperAnswer | undefined> {
     const { board, directory, keeper } = this.options;
-    for (const host of directory.keepersOf(workspace)) {
+    for (const host of directory.ownersOf(workspace)) {
       const isOwn = host === board.host;
       const answer = isOwn
         ? keeper.ask(workspace, wanted, performance.now())
@@ -146,7 +146,7 @@
     const { board, calls } = this.options;
     const peer = board.hosts.get(host);
     if (peer === undefined || !calls.isReachable(peer, performance.now())) return undefined;
-    const answer = await calls.ask(
+    const answer = await calls.request(
       peer,
       (id) => ({ kind: FrameKind.AllowanceRequest, id, workspace, wanted }),
       ASK_TIMEOUT_MS,
@@ -168,7 +168,7 @@
   /** Decides without the keeper. */
   private admitAlone(workspace: WorkspaceId, account: Account, now: number): Refusal | undefined {
     const { metrics, board } = this.options;
-    const [host] = this.options.directory.keepersOf(workspace);
+    const [host] = this.options.directory.ownersOf(workspace);
     metrics.localLimitDecisions.inc();
     if (account.share.canAdmit(now)) {
       account.share.recordAdmission(now);
--- a/packages/gateway/src/model/catalog.ts
+++ b/packages/gateway/src/model/catalog.ts
@@ -40,7 +40,7 @@
 }
 
 /** A group's bounds. */
-export interface GroupBounds {
+export interface GroupSettings {
   readonly group: GroupId;
   readonly connectionsPerUpstream: number;
   /** Replicas that must have received a commit before it is confirmed. */
@@ -53,7 +53,7 @@
 export interface Catalog {
   readonly version: number;
   readonly routes: ReadonlyMap<string, Route>;
-  readonly groups: ReadonlyMap<GroupId, GroupBounds>;
+  readonly groups: ReadonlyMap<GroupId, GroupSettings>;
   readonly keys: WorkspaceKeys;
   /** The workspaces by name; none where no keys are asked for. */
   readonly workspaces: ReadonlyMap<WorkspaceId, Workspace>;
--- a/packages/gateway/src/model/outcome.ts
+++ b/packages/gateway/src/model/outcome.ts
@@ -5,7 +5,7 @@
 import { refuse, UpstreamFault } from '@gladespool/coordination';
 
 /** Faults that tell that the statement did not run. */
-export const NOT_RUN: ReadonlySet<UpstreamFault> = new Set([
+export const NOT_RUN_FAULTS: ReadonlySet<UpstreamFault> = new Set([
   UpstreamFault.Busy,
   UpstreamFault.Lagging,
   UpstreamFault.ReadOnly,
--- a/packages/gateway/src/model/statement.ts
+++ b/packages/gateway/src/model/statement.ts
@@ -17,7 +17,7 @@
 }
 
 /** What a prepared name stands for. */
-export interface PreparedShape {
+export interface PreparedStatement {
   readonly access: Access;
   readonly shape: string;
 }
@@ -32,7 +32,7 @@
   | {
       readonly kind: StatementKind.Prepare;
       readonly name: string;
-      readonly prepared: PreparedShape;
+      readonly prepared: PreparedStatement;
     }
   | { readonly kind: StatementKind.Execute; readonly name: string; readonly args: string }
   | { readonly kind: StatementKind.Deallocate; readonly name: string };
@@ -40,7 +40,7 @@
 /** What runs at an upstream: a text passed on unchanged, or a prepared shape with its arguments. */
 export type Work =
   | { readonly kind: 'text'; readonly access: Access; readonly text: string }
-  | { readonly kind: 'prepared'; readonly prepared: PreparedShape; readonly args: string };
+  | { readonly kind: 'prepared'; readonly prepared: PreparedStatement; readonly args: string };
 
 /** Whether the work reads or writes. */
 export function accessOf(work: Work): Access {
--- a/packages/gateway/src/model/upstream-wire.ts
+++ b/packages/gateway/src/model/upstream-driver.ts
@@ -11,10 +11,10 @@
 import type { PoolConnection } from '@gladespool/pool';
 import type { Result } from 'neverthrow';
 import type { UpstreamEntry } from './catalog.js';
-import type { PreparedShape } from './statement.js';
+import type { PreparedStatement } from './statement.js';
 
 /** Id of statements that no caller sent. */
-export const OWN_STATEMENT = '-';
+export const INTERNAL_STATEMENT_ID = '-';
 
 /** One exchange with an upstream. `after` makes it fail unless the log holds that position. */
 export type UpstreamCommand =
@@ -35,12 +35,12 @@
       readonly after: Position | undefined;
     }
   | { readonly kind: 'set-value'; readonly name: string; readonly value: string }
-  | { readonly kind: 'prepare'; readonly name: string; readonly prepared: PreparedShape }
+  | { readonly kind: 'prepare'; readonly name: string; readonly prepared: PreparedStatement }
   | { readonly kind: 'discard' }
   | { readonly kind: 'status' };
 
 /** Why no answer came. */
-export enum WireLoss {
+export enum ConnectionLoss {
   /** The connection ended or broke the protocol. */
   Closed = 'closed',
   /** The time was over; the connection is closed. */
@@ -62,7 +62,7 @@
       readonly text: string;
       readonly position: Position | undefined;
     }
-  | { readonly kind: 'lost'; readonly loss: WireLoss };
+  | { readonly kind: 'lost'; readonly loss: ConnectionLoss };
 
 /** What an upstream tells of itself. */
 export interface UpstreamStatus {
@@ -73,9 +73,9 @@
 }
 
 /** One connection to an upstream; runs one exchange at a time. */
-export interface UpstreamWire extends PoolConnection {
+export interface DriverConnection extends PoolConnection {
   /** Where the upstream stood when it took the connection; undefined if it did not tell. */
-  readonly greeting: Position | undefined;
+  readonly initialPosition: Position | undefined;
   exchange(command: UpstreamCommand, timeoutMs: number): Promise<UpstreamAnswer>;
 }
 
@@ -87,7 +87,7 @@
     group: GroupId,
     timeoutMs: number,
     workspace: WorkspaceId | undefined,
-  ): Promise<Result<UpstreamWire, GladespoolError>>;
+  ): Promise<Result<DriverConnection, GladespoolError>>;
   /** Reads the row that answers a status command. */
   readStatus(row: string): UpstreamStatus | undefined;
 }
--- a/packages/gateway/src/peering/peer-calls.ts
+++ b/packages/gateway/src/peering/peer-calls.ts
@@ -21,11 +21,11 @@
 }
 
 /** Times of a question, beside the longest wait for its answer. */
-export interface AskTimes {
+export interface RequestTimes {
   /** Longest wait for a link to the host, part of the wait for the answer, milliseconds. */
   readonly linkTimeoutMs?: number;
   /** Time for which the other host may hold the answer back until it has news, milliseconds. */
-  readonly heldMs?: number;
+  readonly longPollMs?: number;
 }
 
 /** Longest wait for a link to a host that is tried again, milliseconds: far above three round trips. */
@@ -50,11 +50,11 @@
   }
 
   /** Sends the frame that `build` makes for a fresh id, and waits for the answer. */
-  async ask(
+  async request(
     peer: PeerAddress,
     build: (id: number) => Frame,
     timeoutMs: number,
-    { linkTimeoutMs = timeoutMs, heldMs = 0 }: AskTimes = {},
+    { linkTimeoutMs = timeoutMs, longPollMs: heldMs = 0 }: RequestTimes = {},
   ): Promise<Result<ReplyFrame, GladespoolError>> {
     const startedAt = performance.now();
     const link = await this.open(peer, Math.min(timeoutMs, linkTimeoutMs));
@@ -62,7 +62,7 @@
     const id = this.nextId;
     this.nextId += 1;
     const now = performance.now();
-    this.liveness.expectAnswer(link.value, now + heldMs);
+    this.liveness.expectReply(link.value, now + heldMs);
     return this.exchange(peer, link.value, id, build(id), Math.max(1, startedAt + timeoutMs - now));
   }
 
@@ -78,7 +78,7 @@
   }
 
   /** Sends a frame that needs no answer; false when it could not be sent. */
-  tell(peer: PeerAddress, frame: Frame): Promise<boolean> {
+  notify(peer: PeerAddress, frame: Frame): Promise<boolean> {
     return this.network.sendTo(peer, frame);
   }
 
--- a/packages/gateway/src/peering/peer-liveness.ts
+++ b/packages/gateway/src/peering/peer-liveness.ts
@@ -26,7 +26,7 @@
  * garbage collection; closing settles what is under way, writes as uncertain, so it must not be
  * done to a host that is only slow. 300 ms: a process that was killed is back in about a second.
  */
-export const DEFAULT_LIVENESS: LivenessRules = {
+export const DEFAULT_LIVENESS_RULES: LivenessRules = {
   pingAfterMs: 100,
   suspectAfterMs: 100,
   closeAfterMs: 400,
@@ -37,7 +37,7 @@
 const PING_ID = 0;
 
 /** What the watch does with a link. */
-export type WatchedLink = Pick<PeerLink, 'host' | 'send' | 'close'>;
+export type MonitoredLink = Pick<PeerLink, 'host' | 'send' | 'close'>;
 
 /** A link on which a question has been sent since the latest frame. */
 interface Waiting {
@@ -53,16 +53,16 @@
 
 /** Watch over the links of one host. */
 export class PeerLiveness {
-  private readonly waiting = new Map<WatchedLink, Waiting>();
+  private readonly waiting = new Map<MonitoredLink, Waiting>();
   private readonly unreachable = new Map<string, Unreachable>();
 
   constructor(
     private readonly log: Logger,
-    private readonly rules: LivenessRules = DEFAULT_LIVENESS,
+    private readonly rules: LivenessRules = DEFAULT_LIVENESS_RULES,
   ) {}
 
   /** Notes that a question on `link` should be answered from local time `dueAt` on. */
-  expectAnswer(link: WatchedLink, dueAt: number): void {
+  expectReply(link: MonitoredLink, dueAt: number): void {
     const held = this.waiting.get(link);
     if (held !== undefined && held.dueAt <= dueAt) return;
     this.waiting.set(link, { dueAt, pingedAt: undefined });
@@ -113,12 +113,12 @@
   }
 
   /** Notes a frame of any kind on `link`. */
-  noteFrame(link: WatchedLink): void {
+  noteFrame(link: MonitoredLink): void {
     this.waiting.delete(link);
   }
 
   /** Notes that `link` is closed. */
-  noteLost(link: WatchedLink): void {
+  noteLost(link: MonitoredLink): void {
     this.waiting.delete(link);
   }
 
--- a/packages/gateway/tests/begin-with-statement.steps.ts
+++ b/packages/gateway/tests/begin-with-statement.steps.ts
@@ -65,7 +65,7 @@
 /** Calls that hand each question to the service of a home, and its reply back. */
 function callsTo(world: BeginWorld, service: ForwardService): ForwardCalls {
   return {
-    ask: (_peer, build) => {
+    request: (_peer, build) => {
       world.asked += 1;
       if (world.isSilent) return Promise.resolve(err(silence()));
       return new Promise((resolve) => {
@@ -75,7 +75,7 @@
         service.onFrame(link, build(world.asked));
       });
     },
-    tell: () => Promise.resolve(true),
+    notify: () => Promise.resolve(true),
   };
 }
 
--- a/packages/gateway/tests/bound-regions-in-action.steps.ts
+++ b/packages/gateway/tests/bound-regions-in-action.steps.ts
@@ -120,7 +120,7 @@
   board.putEvacuations(new Map(deal.evacuated.map((az) => [az, now])));
   const record = { group: GROUP, epoch: 1, phase: RecordPhase.Serving };
   board.putRecord({ ...record, primary: upstreamId('u0'), holder: hostId('h0') });
-  board.prove(now);
+  board.recordProof(now);
 }
 
 function jobOf(deal: Deal, now: number): BeginJob {
--- a/packages/gateway/tests/evacuation.steps.ts
+++ b/packages/gateway/tests/evacuation.steps.ts
@@ -67,12 +67,12 @@
       startedAt: 0,
       lapse: expiryRules(1000),
     });
-    if (current !== 'never') this.view.noteCurrent(Number(current));
+    if (current !== 'never') this.view.markCurrent(Number(current));
   },
 );
 
 When('it learns at {int} ms that zone z1 is evacuated', function (this: PlanWorld, now: number) {
-  this.view.takeItems(
+  this.view.applyItems(
     [{ key: 'evacuation/z1', value: '', position: { era: 0, revision: 1 } }],
     now,
   );
@@ -110,7 +110,7 @@
       primary: FORMER,
       holder: hostId('h0'),
     });
-    this.board.prove(NOW);
+    this.board.recordProof(NOW);
     const group = new FakeGroup();
     for (const { id } of entries) group.upstreams.set(id, new FakeUpstream(id));
     this.driver = new FakeDriver(group);
--- a/packages/gateway/tests/fakes/fake-deployment.ts
+++ b/packages/gateway/tests/fakes/fake-deployment.ts
@@ -27,7 +27,7 @@
 import { createLogger, HostMetrics } from '@gladespool/observability';
 import { freePort, LoopbackNetwork } from '@gladespool/standins';
 import type {
-  DocumentReading,
+  DocumentReadResult,
   ForeignDocument,
   GatewayRules,
   Outcome,
@@ -36,7 +36,7 @@
 import {
   DEFAULT_SYNC,
   GatewayHost,
-  OF_NO_CONCERN,
+  UNRELATED_KEY,
   ReportedRole,
   RequestJournal,
   Session,
@@ -173,7 +173,7 @@
 
   private mayWrite(gateway: GatewayHost): boolean {
     const { board } = gateway;
-    return board.record(GROUP) !== undefined && Number.isFinite(board.provenSince);
+    return board.record(GROUP) !== undefined && Number.isFinite(board.latestProofAt);
   }
 
   private addUpstream(index: number): void {
@@ -247,14 +247,14 @@
   key: string,
   text: string,
   { maxStalenessMs, limit, regions, workspaceRegions, syncReplicas }: FakeDeployment,
-): DocumentReading<ForeignDocument> {
+): DocumentReadResult<ForeignDocument> {
   if (key.startsWith('upstream/')) {
     return usedDocument({ kind: 'upstream', entry: JSON.parse(text) as UpstreamEntry });
   }
   if (key.startsWith(EVACUATION_PREFIX)) {
     return usedDocument({ kind: 'evacuation', az: azId(key.slice(EVACUATION_PREFIX.length)) });
   }
-  if (key !== 'catalog') return OF_NO_CONCERN;
+  if (key !== 'catalog') return UNRELATED_KEY;
   const route = {
     database: DATABASE,
     group: GROUP,
--- a/packages/gateway/tests/fakes/fake-documents.ts
+++ b/packages/gateway/tests/fakes/fake-documents.ts
@@ -5,15 +5,15 @@
 import { createLogger, HostMetrics } from '@gladespool/observability';
 import type {
   Catalog,
-  DocumentReading,
+  DocumentReadResult,
   ForeignDocument,
-  ForeignDocuments,
+  ForeignDocumentReader,
   GatewayBoard,
   UpstreamEntry,
 } from '../../src/index.js';
 import {
   DocumentReader,
-  OF_NO_CONCERN,
+  UNRELATED_KEY,
   unreadableDocument,
   usedDocument,
 } from '../../src/index.js';
@@ -37,13 +37,13 @@
 }
 
 /** Reads the documents of the tests. */
-export class FakeDocuments implements ForeignDocuments {
-  read(key: string, text: string): DocumentReading<ForeignDocument> {
+export class FakeDocuments implements ForeignDocumentReader {
+  read(key: string, text: string): DocumentReadResult<ForeignDocument> {
     if (key.startsWith(EVACUATION_PREFIX)) {
       return usedDocument({ kind: 'evacuation', az: azId(key.slice(EVACUATION_PREFIX.length)) });
     }
     const isKnown = key === CONFIG_KEY || key.startsWith(UPSTREAM_PREFIX);
-    if (!isKnown) return OF_NO_CONCERN;
+    if (!isKnown) return UNRELATED_KEY;
     try {
       return usedDocument(decode(key, JSON.parse(text)));
     } catch {
--- a/packages/gateway/tests/fakes/fake-group.ts
+++ b/packages/gateway/tests/fakes/fake-group.ts
@@ -21,9 +21,9 @@
   UpstreamDriver,
   UpstreamEntry,
   UpstreamStatus,
-  UpstreamWire,
+  DriverConnection,
 } from '../../src/index.js';
-import { PromotionAnswer, WireLoss } from '../../src/index.js';
+import { PromotionAnswer, ConnectionLoss } from '../../src/index.js';
 
 /** One upstream. */
 export class FakeUpstream {
@@ -103,7 +103,7 @@
     _group: GroupId,
     timeoutMs: number,
     workspace: WorkspaceId | undefined,
-  ): Promise<Result<UpstreamWire, GladespoolError>> {
+  ): Promise<Result<DriverConnection, GladespoolError>> {
     this.connected.add(entry.id);
     const upstream = this.group.upstreams.get(entry.id);
     if (upstream !== undefined && !this.misses(upstream)) {
@@ -125,8 +125,8 @@
 
 const SILENCE_MS = 50;
 
-class FakeWire implements UpstreamWire {
-  readonly greeting: Position;
+class FakeWire implements DriverConnection {
+  readonly initialPosition: Position;
   private readonly life: number;
   private closed = false;
 
@@ -136,7 +136,7 @@
     private readonly workspace: WorkspaceId | undefined,
     private readonly isMissed: () => boolean,
   ) {
-    this.greeting = this.status().received;
+    this.initialPosition = this.status().received;
     this.life = upstream.life;
   }
 
@@ -154,11 +154,11 @@
 
   async exchange(command: UpstreamCommand, timeoutMs: number): Promise<UpstreamAnswer> {
     await pause(1);
-    if (!this.usable) return { kind: 'lost', loss: WireLoss.Closed };
+    if (!this.usable) return { kind: 'lost', loss: ConnectionLoss.Closed };
     if (this.isMissed()) {
       await pause(Math.min(timeoutMs, SILENCE_MS));
       this.closed = true;
-      return { kind: 'lost', loss: WireLoss.Timeout };
+      return { kind: 'lost', loss: ConnectionLoss.Timeout };
     }
     if (command.kind === 'run') return this.run(command.text, command.after);
     const rows = command.kind === 'status' ? [JSON.stringify(this.status())] : [];
--- a/packages/gateway/tests/fakes/fake-home.ts
+++ b/packages/gateway/tests/fakes/fake-home.ts
@@ -9,8 +9,8 @@
 import { createLogger, HostMetrics } from '@gladespool/observability';
 import type { GatewayBoard, HomeContext, UpstreamDriver } from '../../src/index.js';
 import { HomeDirectory } from '../../src/knowledge/home-directory.js';
-import { PromotionPace } from '../../src/knowledge/promotion-pace.js';
-import { ReachNotes } from '../../src/knowledge/reach-notes.js';
+import { PromotionTracker } from '../../src/knowledge/promotion-tracker.js';
+import { ReachabilityReports } from '../../src/knowledge/reachability-reports.js';
 import { WriteHolds } from '../../src/knowledge/write-holds.js';
 
 /** Time within which an evacuated zone has to be left, milliseconds. */
@@ -28,9 +28,9 @@
       gap: DEFAULT_OUTAGE_ESTIMATES,
     },
     holds: new WriteHolds(board),
-    pace: new PromotionPace(board, 0),
+    pace: new PromotionTracker(board, 0),
     directory: new HomeDirectory(board),
-    reach: new ReachNotes(),
+    reach: new ReachabilityReports(),
     random: new SeededRandom(1),
     evacuationMs: EVACUATION_MS,
     metrics: new HostMetrics(),
--- a/packages/gateway/tests/first-proof.steps.ts
+++ b/packages/gateway/tests/first-proof.steps.ts
@@ -12,7 +12,7 @@
 import { createLogger, HostMetrics } from '@gladespool/observability';
 import { GatewayBoard } from '../src/knowledge/board.js';
 import { DEFAULT_PROOFS, ProofKeeper } from '../src/control/proofs/proof-keeper.js';
-import { Registrar } from '../src/control/store/registrar.js';
+import { HostRegistrar } from '../src/control/store/registrar.js';
 import { DEFAULT_FOLLOWER, StoreFollower } from '../src/control/store/store-follower.js';
 import { hostKey } from '../src/control/store/store-documents.js';
 import { StoreView } from '../src/control/store/store-view.js';
@@ -24,7 +24,7 @@
   board: GatewayBoard;
   client: FakeStoreClient;
   keeper: ProofKeeper;
-  registrar: Registrar;
+  registrar: HostRegistrar;
   follower: StoreFollower;
   provenBefore: number;
 }
@@ -64,7 +64,7 @@
     lapse: expiryRules(SERVES_ON_MS),
   });
   const follower = new StoreFollower({ store, view, metrics, log, rules: DEFAULT_FOLLOWER });
-  const registrar = new Registrar(self, board, store, log);
+  const registrar = new HostRegistrar(self, board, store, log);
   const rules = DEFAULT_PROOFS;
   world.board = board;
   world.client = store;
@@ -84,14 +84,14 @@
 });
 
 When('a host reads the store and lists itself', async function (this: ProofWorld) {
-  await this.follower.catchUp();
+  await this.follower.readOnce();
   await this.keeper.register();
 });
 
 When(
   'a host reads the store and lists itself, another one listing itself in between',
   async function (this: ProofWorld) {
-    await this.follower.catchUp();
+    await this.follower.readOnce();
     this.store.put(hostKey('h2'), { ...SELF, host: 'h2' });
     await this.keeper.register();
   },
@@ -100,7 +100,7 @@
 When(
   'a host reads the store and lists itself, and the answer to its registration is lost',
   async function (this: ProofWorld) {
-    await this.follower.catchUp();
+    await this.follower.readOnce();
     this.store.loseAnswers = 1;
     await this.keeper.register();
     assert.equal(this.store.loseAnswers, 0);
@@ -110,7 +110,7 @@
 When(
   'a host reads the store and lists itself, and its measuring read is lost',
   async function (this: ProofWorld) {
-    await this.follower.catchUp();
+    await this.follower.readOnce();
     this.client.loseReads = 1;
     await this.keeper.register();
     assert.equal(this.client.loseReads, 0);
@@ -120,7 +120,7 @@
 When(
   'a host reads the store and begins to stop while it measures its way there',
   async function (this: ProofWorld) {
-    await this.follower.catchUp();
+    await this.follower.readOnce();
     this.client.roundTripMs = MEASURED_MS;
     const registering = this.keeper.register();
     this.board.draining = true;
@@ -131,7 +131,7 @@
 When(
   'a host reads the store and lists itself, and reads it once more',
   async function (this: ProofWorld) {
-    await this.follower.catchUp();
+    await this.follower.readOnce();
     await this.keeper.register();
     await this.keeper.read();
   },
@@ -140,7 +140,7 @@
 Then(
   /^a tick ([\d.]+) ms after that read (begins|does not begin) the next one$/,
   function (this: ProofWorld, ms: string, begins: string) {
-    const began = this.keeper.tick(this.board.provenSince + Number(ms));
+    const began = this.keeper.tick(this.board.latestProofAt + Number(ms));
     assert.equal(began, begins === 'begins');
   },
 );
@@ -157,25 +157,25 @@
 
 When('it is taken off the list', function (this: ProofWorld) {
   this.store.remove(hostKey(SELF.host));
-  this.provenBefore = this.board.provenSince;
+  this.provenBefore = this.board.latestProofAt;
 });
 
 Then('it is listed, and holds a proof without reading again', function (this: ProofWorld) {
-  assert.equal(Number.isFinite(this.board.provenSince), true);
+  assert.equal(Number.isFinite(this.board.latestProofAt), true);
   assert.equal(this.registrar.isListed, true);
 });
 
 Then('it holds no proof before it has read again', async function (this: ProofWorld) {
-  assert.equal(Number.isFinite(this.board.provenSince), false);
+  assert.equal(Number.isFinite(this.board.latestProofAt), false);
   assert.equal(await this.keeper.read(), true);
-  assert.equal(Number.isFinite(this.board.provenSince), true);
+  assert.equal(Number.isFinite(this.board.latestProofAt), true);
 });
 
 Then(
   'it lists itself again with its next reads, and holds a proof of then',
   { timeout: 20_000 },
   async function (this: ProofWorld) {
-    while (this.board.provenSince <= this.provenBefore || !this.registrar.isListed) {
+    while (this.board.latestProofAt <= this.provenBefore || !this.registrar.isListed) {
       assert.equal(await this.keeper.read(), true);
       await pause(POLL_MS);
     }
--- a/packages/gateway/tests/guarded-store.steps.ts
+++ b/packages/gateway/tests/guarded-store.steps.ts
@@ -145,13 +145,13 @@
   });
   const store = new GuardedStore(new FakeStoreClient(world.store), view, log);
   const order = new RelayOrder(board);
-  const calls = { ask: unasked, tell: unasked, isReachable: () => false };
+  const calls = { request: unasked, notify: unasked, isReachable: () => false };
   const round = new HostRound({ board, order, calls });
   world.view = view;
   world.opener = new EraOpener({
     ...{ self, board, view, store, order, round, metrics, log },
     authority: DEFAULT_AUTHORITY,
-    readAgain: () => readAll(world),
+    reloadOwnDocuments: () => readAll(world),
   });
 }
 
@@ -174,8 +174,8 @@
 );
 
 Then('the host takes no proof from the store', function (this: GuardWorld) {
-  assert.ok(this.view.isOpened);
-  assert.ok(!this.view.isSettled);
+  assert.ok(this.view.isEraOpened);
+  assert.ok(!this.view.isEraSettled);
 });
 
 Then(
@@ -192,5 +192,5 @@
 );
 
 Then('the host takes proofs from the store again', function (this: GuardWorld) {
-  assert.ok(this.view.isSettled);
+  assert.ok(this.view.isEraSettled);
 });
--- a/packages/gateway/tests/host-round.steps.ts
+++ b/packages/gateway/tests/host-round.steps.ts
@@ -61,7 +61,7 @@
   };
   const silent = (peer: PeerAddress): boolean => world.silent.has(hostId(peer.host));
   return {
-    ask: (peer, build, timeoutMs) => {
+    request: (peer, build, timeoutMs) => {
       count(peer);
       build(1);
       if (!silent(peer)) return Promise.resolve(ok({ kind: FrameKind.RevokeReply, id: 1 }));
@@ -71,7 +71,7 @@
         }, timeoutMs);
       });
     },
-    tell: (peer, frame) => {
+    notify: (peer, frame) => {
       count(peer);
       const to = hostId(peer.host);
       if (frame.kind === FrameKind.StoreUpdate) world.told.push(to);
--- a/packages/gateway/tests/isolation-guard.steps.ts
+++ b/packages/gateway/tests/isolation-guard.steps.ts
@@ -17,7 +17,7 @@
   'a host whose latest proof was sent at {int} ms, and a balancer that notices within {int} ms',
   function (this: GuardWorld, provedAt: number, noticedAfterMs: number) {
     this.board = new GatewayBoard(hostId('h1'), azId('z1'));
-    this.board.prove(provedAt);
+    this.board.recordProof(provedAt);
     this.sentAway = 0;
     this.now = 0;
     this.guard = new IsolationGuard({
@@ -38,7 +38,7 @@
 });
 
 When('a proof sent at {int} ms arrives', function (this: GuardWorld, sentAt: number) {
-  this.board.prove(sentAt);
+  this.board.recordProof(sentAt);
 });
 
 Then(
--- a/packages/gateway/tests/news-passed-on.steps.ts
+++ b/packages/gateway/tests/news-passed-on.steps.ts
@@ -49,7 +49,7 @@
     );
     hosts.forEach(({ gateway: { board } }, index) => {
       board.onChange(BoardSection.Proof, () => {
-        const { provenSince, catalogConfirmedAt: documentsSince } = board;
+        const { latestProofAt: provenSince, catalogConfirmedAt: documentsSince } = board;
         taken[index]?.push({ provenSince, documentsSince });
       });
     });
@@ -91,8 +91,8 @@
     lapse: LAPSE,
   });
   // With a young proof it asks nobody but its parent.
-  view.noteCurrent(now);
-  board.prove(now);
+  view.markCurrent(now);
+  board.recordProof(now);
   const options = {
     self,
     board,
--- a/packages/gateway/tests/peer-liveness.steps.ts
+++ b/packages/gateway/tests/peer-liveness.steps.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { createLogger } from '@gladespool/observability';
-import type { WatchedLink } from '../src/peering/peer-liveness.js';
+import type { MonitoredLink } from '../src/peering/peer-liveness.js';
 import { PeerLiveness } from '../src/peering/peer-liveness.js';
 
 interface LivenessWorld {
   liveness: PeerLiveness;
-  link: WatchedLink;
+  link: MonitoredLink;
   pings: number;
   closed: boolean;
 }
@@ -34,7 +34,7 @@
   const { liveness, link } = world;
   switch (what) {
     case 'ask':
-      liveness.expectAnswer(link, now);
+      liveness.expectReply(link, now);
       return;
     case 'frame':
       liveness.noteFrame(link);
--- a/packages/gateway/tests/store-histories.steps.ts
+++ b/packages/gateway/tests/store-histories.steps.ts
@@ -12,7 +12,7 @@
 } from '@gladespool/coordination';
 import { createLogger, HostMetrics } from '@gladespool/observability';
 import fc from 'fast-check';
-import { DUTY_KEY, primaryKey } from '../src/control/store/store-documents.js';
+import { PROMOTION_LEASE_KEY, primaryKey } from '../src/control/store/store-documents.js';
 import type { StoreRange } from '../src/index.js';
 import { GatewayBoard, ReportedRole, StoreView } from '../src/index.js';
 import { CONFIG_KEY, fakeReader, UPSTREAM_PREFIX } from './fakes/fake-documents.js';
@@ -68,12 +68,12 @@
     }
     const fresh = store.events.filter(({ revision }) => revision > position.revision);
     const events = fresh.map(({ event }) => event);
-    this.view.apply(events, store.position, now);
+    this.view.applyEvents(events, store.position, now);
   }
 
   learnFrom(other: ViewedHost, now: number): void {
     if (!isLater(other.view.position, this.view.position)) return;
-    this.view.merge(other.view.deltaSince(this.view.position), now);
+    this.view.applyDelta(other.view.deltaSince(this.view.position), now);
   }
 
   assertNothingWentBack(): void {
@@ -231,8 +231,8 @@
 
 function letPass({ view }: ViewedHost, from: number, ms: number): void {
   for (let now = from; now <= from + ms; now += 2 * STEP_MS) {
-    view.noteCurrent(now);
-    view.review(now);
+    view.markCurrent(now);
+    view.expireDocuments(now);
   }
 }
 
@@ -270,7 +270,7 @@
     case 'record':
       return [primaryKey('g1'), record(number)];
     case 'duty':
-      return [DUTY_KEY, duty(number)];
+      return [PROMOTION_LEASE_KEY, duty(number)];
     case 'evacuation':
       return [EVACUATION_KEY, ''];
     default:
--- a/packages/gateway/tests/store-restored.steps.ts
+++ b/packages/gateway/tests/store-restored.steps.ts
@@ -3,7 +3,7 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import type { PrimaryRecord } from '@gladespool/coordination';
 import { recordRank } from '@gladespool/coordination';
-import { DUTY_KEY, hostKey, primaryKey } from '../src/control/store/store-documents.js';
+import { PROMOTION_LEASE_KEY, hostKey, primaryKey } from '../src/control/store/store-documents.js';
 import type { StoreEvent } from '../src/index.js';
 import type { ActionWorld } from './fakes/action-world.js';
 import { FORMER, host, killPrimary } from './fakes/action-world.js';
@@ -107,7 +107,9 @@
     const { store, group } = this.deployment;
     assert.ok(recordRank(recordOf(store)) >= recordRank(this.lost));
     const used = group.promotions.map(({ req }) => req.fence);
-    const duty = JSON.parse(store.items.get(DUTY_KEY)?.value ?? '{}') as { readonly fence: number };
+    const duty = JSON.parse(store.items.get(PROMOTION_LEASE_KEY)?.value ?? '{}') as {
+      readonly fence: number;
+    };
     assert.ok(duty.fence >= Math.max(...used), `fence ${duty.fence}, used ${used.join(' ')}`);
   },
 );
--- a/packages/gateway/tests/store-view.steps.ts
+++ b/packages/gateway/tests/store-view.steps.ts
@@ -13,7 +13,7 @@
 import type { HostEntry } from '../src/knowledge/board.js';
 import { BoardSection, GatewayBoard } from '../src/knowledge/board.js';
 import type { StoreEvent, StoreItem } from '../src/control/store/metadata-store.js';
-import { DUTY_KEY, hostKey, primaryKey } from '../src/control/store/store-documents.js';
+import { PROMOTION_LEASE_KEY, hostKey, primaryKey } from '../src/control/store/store-documents.js';
 import { StoreView } from '../src/control/store/store-view.js';
 import type { UpstreamEntry } from '../src/model/catalog.js';
 import { ReportedRole } from '../src/model/catalog.js';
@@ -79,7 +79,7 @@
   'a record of a primary': (now) => [written(itemOf(primaryKey('g1'), RECORD, now))],
   'u1 unreadable': (now) => [written(broken(UPSTREAM_KEY, now))],
   'a record that is unreadable': (now) => [written(broken(primaryKey('g1'), now))],
-  'a duty that is unreadable': (now) => [written(broken(DUTY_KEY, now))],
+  'a duty that is unreadable': (now) => [written(broken(PROMOTION_LEASE_KEY, now))],
   'h1 unreadable': (now) => [written(broken(hostKey('h1'), now))],
   'h2 unreadable': (now) => [written(broken(hostKey('h2'), now))],
   'h3 unreadable': (now) => [written(broken(hostKey('h3'), now))],
@@ -147,11 +147,11 @@
   this.revision += 1;
   const events = NEWS[news];
   assert.ok(events, `unknown news: ${news}`);
-  this.view.apply(events(this.revision), at(this.revision), NEWS_AT);
+  this.view.applyEvents(events(this.revision), at(this.revision), NEWS_AT);
 });
 
 When("the store's news are read again", function (this: ViewWorld) {
-  this.view.merge(this.view.deltaSince(STORE_START), NEWS_AT);
+  this.view.applyDelta(this.view.deltaSince(STORE_START), NEWS_AT);
 });
 
 Then(
@@ -171,7 +171,7 @@
   function (this: ViewWorld, upstreams: string, hosts: string, unknown: string) {
     assert.equal([...this.board.upstreams.keys()].join(' ') || 'none', upstreams);
     assert.equal([...this.board.hosts.keys()].join(' '), hosts);
-    assert.equal([...this.board.unknownHosts].join(' ') || 'none', unknown);
+    assert.equal([...this.board.unreadableHosts].join(' ') || 'none', unknown);
   },
 );
 
@@ -181,8 +181,8 @@
 });
 
 When('the upstreams missing are reviewed {int} ms later', function (this: ViewWorld, ms: number) {
-  this.view.noteCurrent(NEWS_AT + ms);
-  this.view.review(NEWS_AT + ms);
+  this.view.markCurrent(NEWS_AT + ms);
+  this.view.expireDocuments(NEWS_AT + ms);
 });
 
 Then('upstream u1 counts as {word}', function (this: ViewWorld, state: string) {
@@ -217,9 +217,9 @@
 Then('a host that has learnt everything from this one holds the same', function (this: ViewWorld) {
   const board = new GatewayBoard(hostId('h9'), azId('z1'));
   const view = viewOf(board, new HostMetrics());
-  view.merge(this.view.deltaSince(STORE_START), NEWS_AT);
+  view.applyDelta(this.view.deltaSince(STORE_START), NEWS_AT);
   assert.deepEqual([...board.hosts.keys()], [...this.board.hosts.keys()]);
-  assert.deepEqual(board.unknownHosts, this.board.unknownHosts);
+  assert.deepEqual(board.unreadableHosts, this.board.unreadableHosts);
   assert.deepEqual(board.allRecords, this.board.allRecords);
   assert.equal(board.catalog?.version, this.board.catalog?.version);
 });
--- a/packages/gateway/tests/sync-answers.steps.ts
+++ b/packages/gateway/tests/sync-answers.steps.ts
@@ -112,7 +112,7 @@
 function listOne(world: AnswersWorld): void {
   world.revision += 1;
   const item = hostItem('other', world.revision);
-  world.view.apply([{ kind: 'written', item }], at(world.revision), performance.now());
+  world.view.applyEvents([{ kind: 'written', item }], at(world.revision), performance.now());
 }
 
 When('nothing happens', function (this: AnswersWorld) {
@@ -122,7 +122,7 @@
 When('a proof of 200 ms later is taken', function (this: AnswersWorld) {
   const sentAt = this.askedAt + 200;
   this.proof = { sentAt, position: at(this.revision), isFromStore: true };
-  this.board.prove(sentAt);
+  this.board.recordProof(sentAt);
 });
 
 When('400 ms pass', function (this: AnswersWorld) {
@@ -152,7 +152,7 @@
     value: JSON.stringify(record),
     position: at(this.revision),
   };
-  this.view.apply([{ kind: 'written', item }], at(this.revision), performance.now());
+  this.view.applyEvents([{ kind: 'written', item }], at(this.revision), performance.now());
 });
 
 When('the link is lost and 400 ms pass', function (this: AnswersWorld) {
--- a/packages/gateway/tests/unreadable-documents.steps.ts
+++ b/packages/gateway/tests/unreadable-documents.steps.ts
@@ -9,7 +9,7 @@
   RecordPhase,
   upstreamId,
 } from '@gladespool/coordination';
-import { DUTY_KEY, hostKey, primaryKey, ReportedRole } from '../src/index.js';
+import { PROMOTION_LEASE_KEY, hostKey, primaryKey, ReportedRole } from '../src/index.js';
 import type { UpstreamEntry } from '../src/index.js';
 import type { ActionWorld } from './fakes/action-world.js';
 import { host, killPrimary } from './fakes/action-world.js';
@@ -43,7 +43,7 @@
   "the duty is overwritten by what can't be read, and the primary dies",
   TIMEOUT,
   async function (this: UnreadableWorld) {
-    spoil(this, DUTY_KEY);
+    spoil(this, PROMOTION_LEASE_KEY);
     await pause(100);
     killPrimary(this);
   },
@@ -63,7 +63,9 @@
     this.unknownKeys = Array.from({ length: count }, (_, index) => hostKey(`unknown-${index}`));
     for (const key of this.unknownKeys) spoil(this, key);
     const boards = this.deployment.hosts.map(({ gateway }) => gateway.board);
-    await this.deployment.until(() => boards.every((board) => board.unknownHosts.size === count));
+    await this.deployment.until(() =>
+      boards.every((board) => board.unreadableHosts.size === count),
+    );
   },
 );
 
@@ -104,7 +106,7 @@
     // A host that is about to stop does not list itself again.
     board.draining = true;
     spoil(this, hostKey(board.host));
-    await this.deployment.until(() => board.unknownHosts.has(board.host));
+    await this.deployment.until(() => board.unreadableHosts.has(board.host));
     await gateway.drain();
   },
 );
@@ -136,7 +138,7 @@
     await deployment.until(() => deployment.store.items.get(key)?.value !== JSON.stringify(SPOILT));
     const boards = deployment.hosts.map(({ gateway }) => gateway.board);
     await deployment.until(() =>
-      boards.every((board) => board.hosts.size === count && board.unknownHosts.size === 0),
+      boards.every((board) => board.hosts.size === count && board.unreadableHosts.size === 0),
     );
   },
 );
--- a/packages/gateway/tests/work-near-upstreams.steps.ts
+++ b/packages/gateway/tests/work-near-upstreams.steps.ts
@@ -102,7 +102,7 @@
     transactionIdleMs: 1000,
   });
   board.putRecord(RECORD);
-  board.prove(world.now);
+  board.recordProof(world.now);
   return context;
 }
 
--- a/packages/gateway/tests/workspace-limits-in-action.steps.ts
+++ b/packages/gateway/tests/workspace-limits-in-action.steps.ts
@@ -106,11 +106,11 @@
   this.ends = [];
   this.limits = new FleetLimits({
     board,
-    directory: { keepersOf: () => [KEEPER, STAND_IN] },
+    directory: { ownersOf: () => [KEEPER, STAND_IN] },
     keeper: { ask: () => NOT_KEPT },
     calls: {
       isReachable: () => true,
-      ask: (_peer, build) => {
+      request: (_peer, build) => {
         const frame = build(1);
         assert.equal(frame.kind, FrameKind.AllowanceRequest);
         this.asked.push(frame.wanted);
@@ -177,7 +177,7 @@
     const board = this.keeperBoard;
     const usual = [hostId('k'), hostId('s')];
     let keepers = usual;
-    const directory = { keepersOf: () => keepers, since: 0 };
+    const directory = { ownersOf: () => keepers, unchangedSince: 0 };
     const keeper = new AllowanceKeeper({
       board,
       directory,
@@ -191,14 +191,14 @@
       const [at = 0, wanted = 0] = question.split(':').map(Number);
       while (proofs[0] !== undefined && proofs[0] <= at) {
         const provedAt = proofs.shift() ?? 0;
-        board.prove(provedAt);
+        board.recordProof(provedAt);
         keeper.noteProof(provedAt);
       }
       if (known === 'another host keeps it meanwhile' && index > 0) {
         keepers = [hostId('x')];
         keeper.noteHosts();
         keepers = usual;
-        directory.since = at;
+        directory.unchangedSince = at;
       }
       const answer = keeper.ask(LIMITED.id, wanted, at);
       return answer.kept ? String(answer.granted) : 'none';
