--- a/packages/gateway/src/control/promotion/primary-monitor.ts
+++ b/packages/gateway/src/control/promotion/primary-monitor.ts
@@ -84,7 +84,7 @@
 
   private healthOf(group: GroupId): UpstreamHealth | undefined {
     const record = this.options.board.record(group);
-    return record && this.options.home(group).slot(record.primary)?.health;
+    return record && this.options.home(group).pool(record.primary)?.health;
   }
 
   private probe(group: GroupId): Promise<boolean | undefined> {
@@ -99,7 +99,7 @@
   private async probeOnce(group: GroupId): Promise<boolean | undefined> {
     const { board, home, probe, rules } = this.options;
     const record = board.record(group);
-    const slot = record && home(group).slot(record.primary);
+    const slot = record && home(group).pool(record.primary);
     if (record === undefined || slot === undefined) return false;
     const startedAt = performance.now();
     const floor = home(group).primaryFloor(slot.entry.id);
@@ -112,7 +112,7 @@
       return health.failingSince === undefined ? undefined : false;
     }
     const reached =
-      answersAsPrimary(result) && !home(group).noteLostLog(slot.entry.id, floor, toldBy(result));
+      answersAsPrimary(result) && !home(group).detectLogLoss(slot.entry.id, floor, toldBy(result));
     if (reached) health.noteAlive(now);
     else health.noteFailure(now, startedAt - rules.quietMs);
     return reached;
@@ -131,7 +131,7 @@
   { status }: StatusResult,
   now: number,
 ): void {
-  if (status.isPrimary) home.noteLeads(record);
+  if (status.isPrimary) home.notePrimaryConfirmed(record);
   else home.noteDeposed(record, DepositionEvidence.Status, now);
 }
 
--- a/packages/gateway/src/entry/caller-connection.ts
+++ b/packages/gateway/src/entry/caller-connection.ts
@@ -60,13 +60,13 @@
   }
 
   /** Closes the connection as soon as it is idle. */
-  leaveWhenIdle(): void {
+  closeWhenIdle(): void {
     this.leaving = true;
     if (this.isIdle) this.hangUp();
   }
 
   /** Closes the connection once its present statement is answered; an open transaction is rolled back. */
-  leaveNow(): void {
+  closeAfterStatement(): void {
     this.leaving = true;
     if (!this.working) this.hangUp();
   }
@@ -161,7 +161,7 @@
   private refuse(reason: RefusalReason, detail: string): void {
     const version = this.options.session.board.catalog?.version;
     this.options.log.info('session-refused', { reason, detail, catalog_version: version });
-    this.options.session.journal.countRefusal(reason);
+    this.options.session.recorder.countRefusal(reason);
     this.write(this.options.codec.encodeFatal(refused(reason, detail)));
     this.hangUp();
   }
--- a/packages/gateway/src/entry/caller-server.ts
+++ b/packages/gateway/src/entry/caller-server.ts
@@ -29,9 +29,9 @@
   /** Until then open transactions may go on. */
   readonly transactionsMs: number;
   /** Until then statements that are under way may end. */
-  readonly endMs: number;
+  readonly statementsMs: number;
   /** The host ends by then, be it that the store has not answered to its leaving the list. */
-  readonly leaveMs: number;
+  readonly deregisterMs: number;
 }
 
 /** Connections that may wait to be accepted. */
@@ -63,15 +63,15 @@
     const startedAt = performance.now();
     await pause(times.acceptMs);
     this.server?.close();
-    this.sendAway();
+    this.closeSessionsWhenIdle();
     await this.untilGone(startedAt + times.transactionsMs);
-    for (const connection of this.connections) connection.leaveNow();
-    await this.untilGone(startedAt + times.endMs);
+    for (const connection of this.connections) connection.closeAfterStatement();
+    await this.untilGone(startedAt + times.statementsMs);
   }
 
   /** Ends every session where it is idle; callers are accepted as before. */
-  sendAway(): void {
-    for (const connection of this.connections) connection.leaveWhenIdle();
+  closeSessionsWhenIdle(): void {
+    for (const connection of this.connections) connection.closeWhenIdle();
   }
 
   private async untilGone(until: number): Promise<void> {
--- a/packages/gateway/src/entry/isolation-guard.ts
+++ b/packages/gateway/src/entry/isolation-guard.ts
@@ -14,9 +14,9 @@
    * Time after which the balancer has noticed that this host takes no callers, milliseconds; also the time
    * between two times of sending away.
    */
-  readonly noticedAfterMs: number;
+  readonly balancerDelayMs: number;
   /** Ends every session where it rests; callers come back by way of the balancer. */
-  readonly sendAway: () => void;
+  readonly closeSessionsWhenIdle: () => void;
   readonly log: Logger;
 }
 
@@ -42,7 +42,7 @@
       return;
     }
     this.noteIsolated(now);
-    const { noticedAfterMs, sendAway } = this.options;
+    const { balancerDelayMs: noticedAfterMs, closeSessionsWhenIdle: sendAway } = this.options;
     const noticedAt = (this.since ?? now) + noticedAfterMs;
     if (now < noticedAt || now - this.sentAwayAt < noticedAfterMs) return;
     this.sentAwayAt = now;
--- a/packages/gateway/src/entry/request-journal.ts
+++ b/packages/gateway/src/entry/request-recorder.ts
@@ -10,7 +10,7 @@
 import type { Statement } from '../model/statement.js';
 
 /** One statement and its end. */
-export interface RequestEnd {
+export interface FinishedRequest {
   readonly id: string;
   readonly database: string;
   readonly statement: Statement;
@@ -21,7 +21,7 @@
 const MS_PER_SECOND = 1000;
 
 /** Records the ends of statements. */
-export class RequestJournal {
+export class RequestRecorder {
   constructor(
     private readonly board: GatewayBoard,
     private readonly metrics: HostMetrics,
@@ -29,7 +29,7 @@
   ) {}
 
   /** Records the end of one statement. */
-  note(end: RequestEnd): void {
+  recordOutcome(end: FinishedRequest): void {
     const tookMs = performance.now() - end.arrivedAt;
     this.metrics.latency.observe(tookMs / MS_PER_SECOND);
     const { outcome } = end;
@@ -67,13 +67,13 @@
   }
 
   /** Records that a transaction was ended for having rested `idleMs`. */
-  noteIdle(database: string, idleMs: number): void {
+  recordIdleTimeout(database: string, idleMs: number): void {
     this.metrics.refusals.inc({ reason: RefusalReason.TransactionIdle });
     this.log.info('transaction-idle', { database, idle_ms: idleMs });
   }
 }
 
-function placeOf(end: RequestEnd): { request: string; database: string; statement: string } {
+function placeOf(end: FinishedRequest): { request: string; database: string; statement: string } {
   return { request: end.id, database: end.database, statement: end.statement.kind };
 }
 
--- a/packages/gateway/src/entry/session.ts
+++ b/packages/gateway/src/entry/session.ts
@@ -29,7 +29,7 @@
 import { DONE, NOT_RUN_FAULTS, refused } from '../model/outcome.js';
 import type { PreparedStatement, Statement, Work } from '../model/statement.js';
 import { StatementKind } from '../model/statement.js';
-import type { RequestJournal } from './request-journal.js';
+import type { RequestRecorder } from './request-recorder.js';
 
 /** Transaction state as the caller sees it. */
 export enum SessionState {
@@ -51,7 +51,7 @@
   readonly executor: Executor;
   readonly limits: OperationLimits;
   readonly keys: KeyRules;
-  readonly journal: RequestJournal;
+  readonly recorder: RequestRecorder;
 }
 
 /** Where an operation runs and for whom, by the configuration in force when it began. */
@@ -112,7 +112,13 @@
   async handle(id: string, statement: Statement, now: number): Promise<SessionAnswer> {
     clearTimeout(this.idleTimer);
     const outcome = await this.outcomeOf(id, statement, now);
-    this.context.journal.note({ id, database: this.database, statement, outcome, arrivedAt: now });
+    this.context.recorder.recordOutcome({
+      id,
+      database: this.database,
+      statement,
+      outcome,
+      arrivedAt: now,
+    });
     if (this.closed) this.close();
     else this.watchIdle();
     return { outcome, state: this.state };
@@ -248,7 +254,7 @@
 
   /** Gives back an operation of which nothing ran. */
   private giveBack({ workspace }: Place): void {
-    if (workspace !== undefined) this.context.limits.giveBack(workspace, performance.now());
+    if (workspace !== undefined) this.context.limits.refund(workspace, performance.now());
   }
 
   /** What every job at a place has in common. */
@@ -325,7 +331,7 @@
     const idleMs = this.context.board.catalog?.transactionIdleMs ?? DEFAULT_IDLE_MS;
     this.idleTimer = setTimeout(() => {
       this.fail(refused(RefusalReason.TransactionIdle));
-      this.context.journal.noteIdle(this.database, idleMs);
+      this.context.recorder.recordIdleTimeout(this.database, idleMs);
     }, idleMs);
   }
 }
--- a/packages/gateway/src/forward/routed-executor.ts
+++ b/packages/gateway/src/forward/routed-executor.ts
@@ -205,7 +205,9 @@
   private reachingPrimary(group: GroupId, now: number): readonly HostId[] {
     const { reach } = this.options;
     const home = this.options.home(group);
-    return home.missesPrimary(now) ? reach.hostsReaching(group, home.record?.epoch, now) : [];
+    return home.isPrimaryUnreachable(now)
+      ? reach.hostsReaching(group, home.record?.epoch, now)
+      : [];
   }
 
   private addresses(hosts: readonly HostId[]): readonly PeerAddress[] {
--- a/packages/gateway/src/forward/mark-exchange.ts
+++ b/packages/gateway/src/forward/watermark-exchange.ts
@@ -16,7 +16,7 @@
 import type { PeerCalls } from '../peering/peer-calls.js';
 
 /** What the exchange works with. */
-export interface MarkExchangeOptions {
+export interface WatermarkExchangeOptions {
   readonly board: GatewayBoard;
   readonly directory: HomeDirectory;
   readonly calls: PeerCalls;
@@ -34,14 +34,14 @@
 const FETCH_TIMEOUT_MS = 200;
 
 /** Both sides of the exchange on one host. */
-export class MarkExchange implements PeerHandler {
+export class WatermarkExchange implements PeerHandler {
   private readonly fetching = new Set<GroupId>();
   private readonly askedAt = new Map<GroupId, number>();
 
-  constructor(private readonly options: MarkExchangeOptions) {}
+  constructor(private readonly options: WatermarkExchangeOptions) {}
 
   /** Fetches a mark for reads like `job` where the newest one held is too old at `now`. */
-  keepFresh({ route }: Job, now: number): void {
+  refreshIfStale({ route }: Job, now: number): void {
     const { directory, home } = this.options;
     const { group, consistency, maxStalenessMs } = route;
     if (consistency === Consistency.Primary || this.fetching.has(group)) return;
@@ -86,24 +86,24 @@
     const { mark } = answer.value;
     if (mark === undefined) return;
     // The question was sent no later than it arrived, so the age counted from then is never too small.
-    home(group).addMark(record, sentAt - mark.ageMs, mark.position, performance.now());
+    home(group).addWatermark(record, sentAt - mark.ageMs, mark.position, performance.now());
   }
 }
 
 /** Runs work on this host's homes, and keeps the marks that its reads need. */
-export class MarkedExecutor implements Executor {
+export class WatermarkRefreshingExecutor implements Executor {
   constructor(
     private readonly local: Executor,
-    private readonly marks: MarkExchange,
+    private readonly marks: WatermarkExchange,
   ) {}
 
   run(job: StatementJob): Promise<Outcome> {
-    this.marks.keepFresh(job, performance.now());
+    this.marks.refreshIfStale(job, performance.now());
     return this.local.run(job);
   }
 
   begin(job: BeginJob): Promise<Result<OpenTransaction, Outcome>> {
-    if (job.readOnly) this.marks.keepFresh(job, performance.now());
+    if (job.readOnly) this.marks.refreshIfStale(job, performance.now());
     return this.local.begin(job);
   }
 }
--- a/packages/gateway/src/gateway-host.ts
+++ b/packages/gateway/src/gateway-host.ts
@@ -17,14 +17,14 @@
 import type { CallerCodec } from './entry/caller-codec.js';
 import { CallerServer } from './entry/caller-server.js';
 import { IsolationGuard } from './entry/isolation-guard.js';
-import { RequestJournal } from './entry/request-journal.js';
+import { RequestRecorder } from './entry/request-recorder.js';
 import { ForwardService } from './forward/forward-service.js';
 import { HomeDirectory } from './knowledge/home-directory.js';
 import { ReachabilityReports } from './knowledge/reachability-reports.js';
-import { MarkedExecutor, MarkExchange } from './forward/mark-exchange.js';
+import { WatermarkRefreshingExecutor, WatermarkExchange } from './forward/watermark-exchange.js';
 import { RoutedExecutor } from './forward/routed-executor.js';
 import type { GatewayRules } from './gateway-rules.js';
-import { AllowanceKeeper } from './limits/allowance-keeper.js';
+import { AllowanceOwner } from './limits/allowance-owner.js';
 import { AllowanceOwnerDirectory } from './knowledge/allowance-owner-directory.js';
 import type { OperationLimits } from './limits/operation-limits.js';
 import { FleetLimits } from './limits/operation-limits.js';
@@ -134,7 +134,7 @@
     this.board.draining = true;
     clearInterval(this.timer);
     const { drain } = this.options.rules;
-    const leaveAt = performance.now() + drain.leaveMs;
+    const leaveAt = performance.now() + drain.deregisterMs;
     await this.callers.drain(drain);
     this.executor.stop();
     await this.control.stop(leaveAt - performance.now());
@@ -168,9 +168,9 @@
     const { board, directory, executor, control } = this;
     const { calls, network } = control;
     const home = (group: GroupId): GroupHome => executor.home(group);
-    const marks = new MarkExchange({ board, directory, calls, home });
+    const marks = new WatermarkExchange({ board, directory, calls, home });
     network.addHandler(marks);
-    return new MarkedExecutor(executor, marks);
+    return new WatermarkRefreshingExecutor(executor, marks);
   }
 
   private createRouting(local: Executor): RoutedExecutor {
@@ -194,7 +194,7 @@
     const { board } = this;
     const directory = new AllowanceOwnerDirectory(board, performance.now());
     const { calls, network } = this.control;
-    const keeper = new AllowanceKeeper({
+    const keeper = new AllowanceOwner({
       board,
       directory,
       isReachable: (host, now) => {
@@ -220,9 +220,9 @@
     return new IsolationGuard({
       board: this.board,
       authority: rules.home.authority,
-      noticedAfterMs: rules.drain.acceptMs,
-      sendAway: () => {
-        this.callers.sendAway();
+      balancerDelayMs: rules.drain.acceptMs,
+      closeSessionsWhenIdle: () => {
+        this.callers.closeSessionsWhenIdle();
       },
       log: createLogger('gateway', { host: self.host }),
     });
@@ -231,14 +231,14 @@
   private createCallers(): CallerServer {
     const { createCodec, rules, self, metrics } = this.options;
     const log = createLogger('caller', { host: self.host });
-    const journal = new RequestJournal(this.board, metrics, log);
+    const journal = new RequestRecorder(this.board, metrics, log);
     return new CallerServer({
       session: {
         board: this.board,
         executor: this.routing,
         limits: this.limits,
         keys: rules.keys,
-        journal,
+        recorder: journal,
       },
       createCodec,
       maxCallers: rules.maxCallers,
--- a/packages/gateway/src/home/await-authority.ts
+++ b/packages/gateway/src/home/await-authority.ts
@@ -22,7 +22,7 @@
   for (let time = now; ; time = performance.now()) {
     if (primaryExclusion(home, job, time) !== undefined) return false;
     if (mayUsePrimary(home, time)) return true;
-    if (home.missesPrimary(time) && home.hasDetour(time)) return false;
+    if (home.isPrimaryUnreachable(time) && home.canForwardToPrimary(time)) return false;
     const expectedAt = home.expectedPrimaryAt(time);
     if (!shouldHoldStatement(expectedAt, job.arrivedAt, timeoutMs)) return false;
     await recordChange(home, REVIEW_MS);
@@ -32,7 +32,7 @@
 function mayUsePrimary(home: GroupHome, now: number): boolean {
   const { record, context } = home;
   if (record === undefined || !context.board.upstreams.has(record.primary)) return false;
-  if (home.missesPrimary(now)) return false;
+  if (home.isPrimaryUnreachable(now)) return false;
   return home.hasAuthority(now) && !context.holds.isHeld(home.group, now);
 }
 
--- a/packages/gateway/src/home/primary-lead.ts
+++ b/packages/gateway/src/home/deposition-tracker.ts
@@ -5,11 +5,11 @@
 import type { PrimaryRecord } from '@gladespool/coordination';
 
 /** What one host knows of the primary of one group. */
-export class PrimaryLead {
+export class DepositionTracker {
   private denied: { readonly epoch: number; readonly since: number } | undefined;
 
   /** Since when the primary of `record` has shown that it leads no more; undefined while it has not. */
-  deniedSince(record: PrimaryRecord | undefined): number | undefined {
+  deposedSince(record: PrimaryRecord | undefined): number | undefined {
     return this.denied?.epoch === record?.epoch ? this.denied?.since : undefined;
   }
 
@@ -18,14 +18,14 @@
    *
    * @returns whether that is news
    */
-  noteDenied(record: PrimaryRecord, now: number): boolean {
-    if (this.deniedSince(record) !== undefined) return false;
+  noteDeposed(record: PrimaryRecord, now: number): boolean {
+    if (this.deposedSince(record) !== undefined) return false;
     this.denied = { epoch: record.epoch, since: now };
     return true;
   }
 
   /** Notes that the primary of `record` says that it leads. */
-  noteLeads(record: PrimaryRecord): void {
-    if (this.deniedSince(record) !== undefined) this.denied = undefined;
+  notePrimaryConfirmed(record: PrimaryRecord): void {
+    if (this.deposedSince(record) !== undefined) this.denied = undefined;
   }
 }
--- a/packages/gateway/src/home/exchange.ts
+++ b/packages/gateway/src/home/exchange.ts
@@ -22,12 +22,12 @@
 import type { PreparedConnection } from './prepared-connection.js';
 import type { ReadTarget } from './read-plan.js';
 import { exclusionOf } from './upstream-exclusion.js';
-import type { UpstreamSlot } from './upstream-slot.js';
+import type { UpstreamPool } from './upstream-pool.js';
 
 /** A connection that was borrowed and set up. */
-export interface Borrowed {
+export interface BorrowedConnection {
   readonly lease: Lease<PreparedConnection>;
-  readonly slot: UpstreamSlot;
+  readonly pool: UpstreamPool;
   /** Record in force when the connection was borrowed. */
   readonly record: PrimaryRecord | undefined;
 }
@@ -49,10 +49,10 @@
 /** Borrows a connection and sets it up; nothing of the statement has run when that fails. */
 export async function borrow(
   home: GroupHome,
-  slot: UpstreamSlot,
+  slot: UpstreamPool,
   job: Job,
   work: Work | undefined,
-): Promise<Result<Borrowed, RefusalReason>> {
+): Promise<Result<BorrowedConnection, RefusalReason>> {
   const { record } = home;
   const now = performance.now();
   const leftMs = job.arrivedAt + job.route.timeoutMs - now;
@@ -75,7 +75,7 @@
     work,
     Math.max(LEAST_EXCHANGE_MS, leftMs),
   );
-  if (failed === undefined) return ok({ lease, slot, record });
+  if (failed === undefined) return ok({ lease, pool: slot, record });
   noteAnswer(slot, failed, performance.now(), undefined);
   lease.connection.close();
   lease.release();
@@ -85,11 +85,11 @@
 /** Sends one command on a borrowed connection and notes what the answer tells. */
 export async function send(
   home: GroupHome,
-  borrowed: Borrowed,
+  borrowed: BorrowedConnection,
   command: UpstreamCommand,
   timeoutMs: number,
 ): Promise<TimedAnswer> {
-  const { lease, slot, record } = borrowed;
+  const { lease, pool: slot, record } = borrowed;
   const sentAt = performance.now();
   const floor = home.primaryFloor(slot.entry.id);
   const isBehindTold = isBehind(command, home.knownPosition(record));
@@ -101,14 +101,18 @@
   noteAnswer(slot, answer, now, now - sentAt);
   const fromPrimary = record?.primary === slot.entry.id;
   if (fromPrimary) noteLead(home, record, isBehindTold, answer, now);
-  if (fromPrimary) home.noteMark(record, sentAt, answer, now);
+  if (fromPrimary) home.recordWatermark(record, sentAt, answer, now);
   noteRun(home, borrowed, command, answer, sentAt, now);
   return { answer, sentAt };
 }
 
 /** Whether what a borrowed connection tells at `now` counts as told by the primary. */
-export function tellsAsPrimary(home: GroupHome, { record, slot }: Borrowed, now: number): boolean {
-  return record !== undefined && home.answerCounts(record, slot.entry.id, now);
+export function isValidPrimaryAnswer(
+  home: GroupHome,
+  { record, pool: slot }: BorrowedConnection,
+  now: number,
+): boolean {
+  return record !== undefined && home.isAnswerValid(record, slot.entry.id, now);
 }
 
 /**
@@ -118,7 +122,7 @@
  */
 export function requiredPosition(
   home: GroupHome,
-  { record }: Borrowed,
+  { record }: BorrowedConnection,
   { after, needsAuthority }: ReadTarget,
 ): Position | undefined {
   return needsAuthority ? home.knownPosition(record) : after;
@@ -153,12 +157,12 @@
  */
 function answerOrLoss(
   home: GroupHome,
-  { lease, slot }: Borrowed,
+  { lease, pool: slot }: BorrowedConnection,
   answer: UpstreamAnswer,
   floor: Position | undefined,
 ): UpstreamAnswer {
   if (answer.kind === 'lost') return answer;
-  if (!home.noteLostLog(slot.entry.id, floor, answer.position)) return answer;
+  if (!home.detectLogLoss(slot.entry.id, floor, answer.position)) return answer;
   lease.connection.close();
   return { kind: 'lost', loss: ConnectionLoss.Closed };
 }
@@ -166,14 +170,14 @@
 /** Counts and tells where a caller's statement ran, behind and at which position, under which record and proof, and its end. */
 function noteRun(
   home: GroupHome,
-  borrowed: Borrowed,
+  borrowed: BorrowedConnection,
   command: UpstreamCommand,
   answer: UpstreamAnswer,
   sentAt: number,
   now: number,
 ): void {
   if (!('id' in command)) return;
-  const { record, slot } = borrowed;
+  const { record, pool: slot } = borrowed;
   const isPrimary = record?.primary === slot.entry.id;
   if (answer.kind === 'completed') {
     const servedBy = isPrimary ? ServedBy.Primary : ServedBy.Replica;
@@ -206,7 +210,7 @@
 }
 
 function noteAnswer(
-  slot: UpstreamSlot,
+  slot: UpstreamPool,
   answer: UpstreamAnswer,
   now: number,
   tookMs: number | undefined,
--- a/packages/gateway/src/home/group-home.ts
+++ b/packages/gateway/src/home/group-home.ts
@@ -41,8 +41,8 @@
 import type { UpstreamAnswer, UpstreamDriver } from '../model/upstream-driver.js';
 import type { Job } from './job.js';
 import type { PromotionTracker } from '../knowledge/promotion-tracker.js';
-import { PrimaryLead } from './primary-lead.js';
-import { UpstreamSlot } from './upstream-slot.js';
+import { DepositionTracker } from './deposition-tracker.js';
+import { UpstreamPool } from './upstream-pool.js';
 
 /** Longer than a connection that is lost and opened anew, milliseconds. */
 const MISSED_AFTER_MS = 150;
@@ -89,7 +89,7 @@
 /** An open transaction as its home watches it. */
 export interface WatchedTransaction {
   /** Ends the transaction if it may not go on at `now`. */
-  review(now: number): void;
+  endIfEvacuated(now: number): void;
 }
 
 /** Connections and knowledge of one group on one host. */
@@ -97,8 +97,8 @@
   readonly marks = new WatermarkLog();
   /** Transactions that are open on upstreams of the group. */
   readonly transactions = new Set<WatchedTransaction>();
-  private readonly slots = new Map<UpstreamId, UpstreamSlot>();
-  private readonly lead = new PrimaryLead();
+  private readonly slots = new Map<UpstreamId, UpstreamPool>();
+  private readonly lead = new DepositionTracker();
 
   constructor(
     readonly group: GroupId,
@@ -119,14 +119,14 @@
 
   /** Local time since which the primary of the record has shown that it leads no more; undefined while it leads. */
   get deposedSince(): number | undefined {
-    return this.lead.deniedSince(this.record);
+    return this.lead.deposedSince(this.record);
   }
 
   /** Notes at `now` that the primary of `record` has shown that it leads no more. */
   noteDeposed(record: PrimaryRecord, evidence: DepositionEvidence, now: number): void {
     // A former primary, that a claim still names as well, need not lead.
     const isInForce = record.epoch === this.record?.epoch && record.phase === RecordPhase.Serving;
-    if (!isInForce || !this.lead.noteDenied(record, now)) return;
+    if (!isInForce || !this.lead.noteDeposed(record, now)) return;
     const { metrics, log } = this.context;
     metrics.primariesDeposed.inc({ evidence });
     const { group, primary, epoch } = record;
@@ -134,14 +134,14 @@
   }
 
   /** Notes that the primary of `record` says that it leads. */
-  noteLeads(record: PrimaryRecord): void {
-    this.lead.noteLeads(record);
+  notePrimaryConfirmed(record: PrimaryRecord): void {
+    this.lead.notePrimaryConfirmed(record);
   }
 
   /** Whether the primary has failed this host for so long that it is better asked by way of others. */
-  missesPrimary(now: number): boolean {
+  isPrimaryUnreachable(now: number): boolean {
     const { record } = this;
-    const since = record && this.slot(record.primary)?.health.failingSince;
+    const since = record && this.pool(record.primary)?.health.failingSince;
     return since !== undefined && now - since >= MISSED_AFTER_MS;
   }
 
@@ -154,7 +154,7 @@
     const view = {
       unprovedSince: board.isIsolated(now, rules.authority) ? lapsedAt : undefined,
       claimedAt: pace.claimedAt(this.group),
-      failingSince: this.deposedSince ?? (record && this.slot(record.primary)?.health.failingSince),
+      failingSince: this.deposedSince ?? (record && this.pool(record.primary)?.health.failingSince),
     };
     const { expectedPromotionMs: promotionMs } = pace;
     return expectedOutageEnd(view, { promotionMs, ...rules.gap }, now);
@@ -163,37 +163,42 @@
   /** Refusal of work that needs the primary while there is none to use, with when to come back. */
   refuseWithoutPrimary(reason: RefusalReason, now: number): Refusal {
     const waitMs = this.expectedPrimaryAt(now) - now;
-    return { ...refuse(reason, this.group), retryAfterMs: this.spreadReturn(waitMs) };
+    return { ...refuse(reason, this.group), retryAfterMs: this.retryAfterWithJitter(waitMs) };
   }
 
   /** When a caller that is to wait for `waitMs` is told to come back, milliseconds from now. */
-  spreadReturn(waitMs: number): number {
+  retryAfterWithJitter(waitMs: number): number {
     const spread = 1 + RETURN_SPREAD * this.context.random.unit();
     return Math.ceil(waitMs * spread);
   }
 
   /** Whether another host is known to reach the primary. */
-  hasDetour(now: number): boolean {
+  canForwardToPrimary(now: number): boolean {
     return this.context.reach.hostsReaching(this.group, this.record?.epoch, now).length > 0;
   }
 
   /** Whether an answer of an upstream that arrived at `now` counts as that of the primary. */
-  answerCounts(sentUnder: PrimaryRecord, answeredBy: UpstreamId, now: number): boolean {
+  isAnswerValid(sentUnder: PrimaryRecord, answeredBy: UpstreamId, now: number): boolean {
     const { board, rules } = this.context;
-    if (this.lead.deniedSince(sentUnder) !== undefined) return false;
+    if (this.lead.deposedSince(sentUnder) !== undefined) return false;
     const view = board.authority(this.group);
     return isAnswerValid(sentUnder, answeredBy, view, now, rules.authority);
   }
 
   /** Notes where the primary stood by an answer to a question sent at `sentAt`, if the answer counts. */
-  noteMark(sentUnder: PrimaryRecord, sentAt: number, answer: UpstreamAnswer, now: number): void {
+  recordWatermark(
+    sentUnder: PrimaryRecord,
+    sentAt: number,
+    answer: UpstreamAnswer,
+    now: number,
+  ): void {
     if (answer.kind === 'lost' || answer.position === undefined) return;
-    this.addMark(sentUnder, sentAt, answer.position, now);
+    this.addWatermark(sentUnder, sentAt, answer.position, now);
   }
 
   /** Adds a mark: where the primary stood at `takenAt`, as this host or another one saw it under `record`. */
-  addMark(record: PrimaryRecord, takenAt: number, position: Position, now: number): void {
-    if (!this.answerCounts(record, record.primary, now)) return;
+  addWatermark(record: PrimaryRecord, takenAt: number, position: Position, now: number): void {
+    if (!this.isAnswerValid(record, record.primary, now)) return;
     this.marks.startEpoch(record.epoch);
     this.marks.add({ sentAt: takenAt, position });
   }
@@ -215,7 +220,7 @@
   }
 
   /** Whether an upstream has told a position behind `floor`, so that it has lost its log; if so, counts and logs it. */
-  noteLostLog(id: UpstreamId, floor: Position | undefined, told: Position | undefined): boolean {
+  detectLogLoss(id: UpstreamId, floor: Position | undefined, told: Position | undefined): boolean {
     if (!hasRegressed(floor, told)) return false;
     const { metrics, log } = this.context;
     metrics.upstreamRestarts.inc({ evidence: RestartEvidence.Position });
@@ -230,7 +235,7 @@
   }
 
   /** The slot of an upstream; undefined when it is not registered. */
-  slot(id: UpstreamId): UpstreamSlot | undefined {
+  pool(id: UpstreamId): UpstreamPool | undefined {
     const entry = this.context.board.upstreams.get(id);
     if (entry?.group !== this.group) return undefined;
     const held = this.slots.get(id);
@@ -254,7 +259,7 @@
     const primary = this.record?.primary;
     const entries = board.upstreamsOf(this.group).filter(isAllowed);
     const loads = entries.map((entry) => {
-      const slot = this.slot(entry.id);
+      const slot = this.pool(entry.id);
       return {
         id: entry.id,
         isPrimary: entry.id === primary,
@@ -270,11 +275,11 @@
   }
 
   /** Fits pools to the hosts that live now, and drops those of upstreams that are gone or started anew. */
-  review(): void {
+  refreshPools(): void {
     const { board } = this.context;
     for (const [id, held] of [...this.slots]) {
       if (board.upstreams.has(id)) {
-        const slot = this.slot(id);
+        const slot = this.pool(id);
         slot?.resize(this.limitsFor(slot.entry));
         continue;
       }
@@ -288,7 +293,7 @@
    * want of a home and does not use.
    */
   tick(now: number): void {
-    for (const transaction of [...this.transactions]) transaction.review(now);
+    for (const transaction of [...this.transactions]) transaction.endIfEvacuated(now);
     if (this.context.directory.isHome(this.group)) return;
     for (const slot of this.slots.values()) slot.closeIdle(now - FALLBACK_IDLE_MS);
   }
@@ -299,7 +304,7 @@
   }
 
   /** Drops what is held of an upstream that is at another address, or is another one under its id. */
-  private retire(held: UpstreamSlot, told: UpstreamEntry): void {
+  private retire(held: UpstreamPool, told: UpstreamEntry): void {
     held.stop();
     if (mayBeSameUpstream(held.entry, told)) return;
     const { metrics, log } = this.context;
@@ -312,15 +317,15 @@
     });
   }
 
-  private openSlot(entry: UpstreamEntry): UpstreamSlot {
+  private openSlot(entry: UpstreamEntry): UpstreamPool {
     const { driver, rules, metrics } = this.context;
-    return new UpstreamSlot(entry, {
+    return new UpstreamPool(entry, {
       group: this.group,
       driver,
       limits: this.limitsFor(entry),
       connectTimeoutMs: rules.connectTimeoutMs,
       floor: () => this.primaryFloor(entry.id),
-      noteLostLog: (floor, told) => this.noteLostLog(entry.id, floor, told),
+      detectLogLoss: (floor, told) => this.detectLogLoss(entry.id, floor, told),
       onConnected: () => {
         metrics.upstreamConnections.inc();
       },
--- a/packages/gateway/src/home/local-executor.ts
+++ b/packages/gateway/src/home/local-executor.ts
@@ -28,7 +28,7 @@
 
   constructor(private readonly context: HomeContext) {
     const review = (): void => {
-      for (const home of this.homes.values()) home.review();
+      for (const home of this.homes.values()) home.refreshPools();
     };
     context.board.onChange(BoardSection.Hosts, review);
     context.board.onChange(BoardSection.Upstreams, review);
--- a/packages/gateway/src/home/pinned-transaction.ts
+++ b/packages/gateway/src/home/pinned-transaction.ts
@@ -9,13 +9,13 @@
 import { accessOf } from '../model/statement.js';
 import type { UpstreamAnswer } from '../model/upstream-driver.js';
 import { ConnectionLoss } from '../model/upstream-driver.js';
-import type { Borrowed } from './exchange.js';
-import { borrow, requiredPosition, send, tellsAsPrimary } from './exchange.js';
+import type { BorrowedConnection } from './exchange.js';
+import { borrow, requiredPosition, send, isValidPrimaryAnswer } from './exchange.js';
 import type { GroupHome, WatchedTransaction } from './group-home.js';
 import type { BeginJob, OpenTransaction, StepJob } from './job.js';
 import type { ReadTarget } from './read-plan.js';
-import { mayGoOn } from './upstream-exclusion.js';
-import { confirmed, notBorrowed } from './write-flow.js';
+import { mayContinue } from './upstream-exclusion.js';
+import { writeOutcome, refuseWithoutConnection } from './write-flow.js';
 
 /** Longest time for a rollback before its connection is closed instead, milliseconds. */
 const ROLLBACK_TIMEOUT_MS = 1000;
@@ -28,12 +28,12 @@
   job: BeginJob,
   target: ReadTarget,
 ): Promise<Result<PinnedTransaction, Outcome>> {
-  const slot = home.slot(target.entry.id);
+  const slot = home.pool(target.entry.id);
   if (slot === undefined) return err(refused(RefusalReason.NoCoveringUpstream, home.group));
   const borrowed = await borrow(home, slot, job, undefined);
   if (borrowed.isErr()) {
     const outcome = target.needsAuthority
-      ? notBorrowed(home, borrowed.error)
+      ? refuseWithoutConnection(home, borrowed.error)
       : refused(borrowed.error, home.group);
     return err(outcome);
   }
@@ -42,7 +42,7 @@
   const leftMs = job.arrivedAt + job.route.timeoutMs - performance.now();
   const begin = { kind: 'begin', readOnly: job.readOnly, after } as const;
   const { answer } = await send(home, borrowed.value, begin, leftMs);
-  const current = tellsAsPrimary(home, borrowed.value, performance.now());
+  const current = isValidPrimaryAnswer(home, borrowed.value, performance.now());
   if (answer.kind === 'completed' && (current || !target.needsAuthority)) {
     return ok(new PinnedTransaction(home, borrowed.value, job));
   }
@@ -71,7 +71,7 @@
 
   constructor(
     private readonly home: GroupHome,
-    private readonly borrowed: Borrowed,
+    private readonly borrowed: BorrowedConnection,
     private readonly begin: BeginJob,
   ) {
     this.leave = begin.readOnly ? () => undefined : home.context.holds.trackWrite(home.group);
@@ -79,7 +79,7 @@
   }
 
   async run(step: StepJob): Promise<Outcome> {
-    this.review(performance.now());
+    this.endIfEvacuated(performance.now());
     if (this.over) return this.lost();
     this.isRunning = true;
     const outcome = await this.runStep(step);
@@ -88,7 +88,7 @@
   }
 
   /** Ends the transaction if its zone has been evacuated for too long, but no statement that is on its way. */
-  review(now: number): void {
+  endIfEvacuated(now: number): void {
     if (!this.isRunning && !this.over && !this.mayGoOn(now)) this.evacuate();
   }
 
@@ -112,7 +112,7 @@
   }
 
   async commit(id: string, arrivedAt: number): Promise<Outcome> {
-    this.review(performance.now());
+    this.endIfEvacuated(performance.now());
     if (this.over) return this.lost();
     if (this.wrote && !this.mayCommit()) return this.fail(refused(RefusalReason.NoAuthority));
     this.end();
@@ -120,7 +120,7 @@
     const { answer } = await send(this.home, this.borrowed, { kind: 'commit', id }, leftMs);
     this.leave();
     this.borrowed.lease.release();
-    if (this.wrote) return confirmed(this.home, this.borrowed, answer);
+    if (this.wrote) return writeOutcome(this.home, this.borrowed, answer);
     return unconfirmedCommit(answer);
   }
 
@@ -134,7 +134,7 @@
   /** Ends the transaction since its zone has been evacuated for too long. */
   private evacuate(): void {
     const { group, context } = this.home;
-    const upstream = this.borrowed.slot.entry.id;
+    const upstream = this.borrowed.pool.entry.id;
     context.log.info('transaction-evacuated', { request: this.begin.id, group, upstream });
     this.endedFor = EVACUATED;
     this.rollback();
@@ -150,11 +150,11 @@
   }
 
   private mayGoOn(now: number): boolean {
-    return mayGoOn(this.home, this.borrowed.slot.entry, now);
+    return mayContinue(this.home, this.borrowed.pool.entry, now);
   }
 
   private mayCommit(): boolean {
-    return tellsAsPrimary(this.home, this.borrowed, performance.now());
+    return isValidPrimaryAnswer(this.home, this.borrowed, performance.now());
   }
 
   private async rollBackAndRelease(): Promise<void> {
--- a/packages/gateway/src/home/read-flow.ts
+++ b/packages/gateway/src/home/read-flow.ts
@@ -12,14 +12,14 @@
 import type { Outcome } from '../model/outcome.js';
 import { refused } from '../model/outcome.js';
 import type { UpstreamAnswer } from '../model/upstream-driver.js';
-import { borrow, requiredPosition, send, tellsAsPrimary } from './exchange.js';
+import { borrow, requiredPosition, send, isValidPrimaryAnswer } from './exchange.js';
 import type { GroupHome } from './group-home.js';
 import type { StatementJob } from './job.js';
 import { awaitAuthority } from './await-authority.js';
 import type { ReadTarget } from './read-plan.js';
 import { planRead } from './read-plan.js';
 import { isExclusion } from './upstream-exclusion.js';
-import { notBorrowed } from './write-flow.js';
+import { refuseWithoutConnection } from './write-flow.js';
 
 /** Upstreams tried for one read at most: each of three twice. */
 const MAX_TRIES = 6;
@@ -72,7 +72,7 @@
   tried: ReadonlySet<UpstreamId>,
   now: number,
 ): Promise<boolean> {
-  const avoidUntil = home.slot(entry.id)?.health.avoidUntil ?? now;
+  const avoidUntil = home.pool(entry.id)?.health.avoidUntil ?? now;
   if (!tried.has(entry.id) || avoidUntil <= now) return true;
   if (avoidUntil > job.arrivedAt + job.route.targetLatencyMs * PAUSE_SHARE) return false;
   await pause(avoidUntil - now);
@@ -80,13 +80,13 @@
 }
 
 async function tryRead(home: GroupHome, job: StatementJob, target: ReadTarget): Promise<Try> {
-  const slot = home.slot(target.entry.id);
+  const slot = home.pool(target.entry.id);
   if (slot === undefined) return again(RetryReason.ConnectFailed, RefusalReason.NoCoveringUpstream);
   const borrowed = await borrow(home, slot, job, job.work);
   if (borrowed.isErr()) return withoutConnection(home, borrowed.error, target);
   const { lease } = borrowed.value;
   // The record may have changed since the read was planned: it waits for upstreams that were tried before.
-  if (target.needsAuthority && !tellsAsPrimary(home, borrowed.value, performance.now())) {
+  if (target.needsAuthority && !isValidPrimaryAnswer(home, borrowed.value, performance.now())) {
     lease.release();
     return again(RetryReason.NotPrimary, RefusalReason.NoAuthority);
   }
@@ -98,7 +98,7 @@
     lease.connection.forgetPrepared();
   }
   lease.release();
-  if (target.needsAuthority && !tellsAsPrimary(home, borrowed.value, performance.now())) {
+  if (target.needsAuthority && !isValidPrimaryAnswer(home, borrowed.value, performance.now())) {
     return again(RetryReason.NotPrimary, RefusalReason.NoAuthority);
   }
   return judge(answer);
@@ -106,7 +106,7 @@
 
 /** Without a connection another upstream may serve; where only the primary may, the answer is final. */
 function withoutConnection(home: GroupHome, reason: Reason, target: ReadTarget): Try {
-  if (target.needsAuthority) return final(notBorrowed(home, reason));
+  if (target.needsAuthority) return final(refuseWithoutConnection(home, reason));
   if (isExclusion(reason)) return again(RetryReason.UpstreamExcluded, reason);
   const unreachable = reason === RefusalReason.UpstreamUnreachable;
   return again(unreachable ? RetryReason.ConnectFailed : RetryReason.UpstreamBusy, reason);
--- a/packages/gateway/src/home/upstream-exclusion.ts
+++ b/packages/gateway/src/home/upstream-exclusion.ts
@@ -38,7 +38,7 @@
 }
 
 /** Whether open transactions on an upstream may go on at `now`. */
-export function mayGoOn(home: GroupHome, entry: UpstreamEntry, now: number): boolean {
+export function mayContinue(home: GroupHome, entry: UpstreamEntry, now: number): boolean {
   return stageOf(home, entry, now) !== EvacuationStage.Evacuated;
 }
 
@@ -75,7 +75,7 @@
 export function refuseExcluded(home: GroupHome, reason: Exclusion): Refusal {
   const refusal = refuse(reason, home.group);
   if (reason === RefusalReason.NoPermittedRegion) return refusal;
-  return { ...refusal, retryAfterMs: home.spreadReturn(retryAfterMsOf(refusal)) };
+  return { ...refusal, retryAfterMs: home.retryAfterWithJitter(retryAfterMsOf(refusal)) };
 }
 
 /** Whether a reason is an exclusion, which every host finds alike, so that no other could do better. */
--- a/packages/gateway/src/home/upstream-slot.ts
+++ b/packages/gateway/src/home/upstream-pool.ts
@@ -20,7 +20,7 @@
 import { UpstreamHealth } from './upstream-health.js';
 
 /** What a slot needs of its home. */
-export interface SlotOptions {
+export interface UpstreamPoolOptions {
   readonly group: GroupId;
   readonly driver: UpstreamDriver;
   readonly limits: PoolLimits;
@@ -28,19 +28,19 @@
   /** Position that the upstream must have reached by now; undefined where nothing is known. */
   readonly floor: () => Position | undefined;
   /** Whether the upstream has told a position behind the floor, and thus lost what it held. */
-  readonly noteLostLog: (floor: Position | undefined, told: Position | undefined) => boolean;
+  readonly detectLogLoss: (floor: Position | undefined, told: Position | undefined) => boolean;
   readonly onConnected: () => void;
   readonly onConnectFailure: (error: GladespoolError) => void;
 }
 
 /** Pool and health of one upstream. */
-export class UpstreamSlot {
+export class UpstreamPool {
   readonly health = new UpstreamHealth();
   private readonly pool: ConnectionPool<PreparedConnection>;
 
   constructor(
     private known: UpstreamEntry,
-    private readonly options: SlotOptions,
+    private readonly options: UpstreamPoolOptions,
   ) {
     this.pool = new ConnectionPool(
       (workspace) => this.connect(workspace),
@@ -110,7 +110,13 @@
   private async connect(
     workspace: WorkspaceId | undefined,
   ): Promise<Result<PreparedConnection, GladespoolError>> {
-    const { driver, group, connectTimeoutMs, noteLostLog, onConnected } = this.options;
+    const {
+      driver,
+      group,
+      connectTimeoutMs,
+      detectLogLoss: noteLostLog,
+      onConnected,
+    } = this.options;
     const floor = this.options.floor();
     const wire = await driver.connect(this.entry, group, connectTimeoutMs, workspace);
     if (wire.isErr()) return err(wire.error);
--- a/packages/gateway/src/home/write-flow.ts
+++ b/packages/gateway/src/home/write-flow.ts
@@ -8,8 +8,8 @@
 import type { UpstreamAnswer } from '../model/upstream-driver.js';
 import { ConnectionLoss } from '../model/upstream-driver.js';
 import { awaitAuthority } from './await-authority.js';
-import type { Borrowed } from './exchange.js';
-import { borrow, send, tellsAsPrimary } from './exchange.js';
+import type { BorrowedConnection } from './exchange.js';
+import { borrow, send, isValidPrimaryAnswer } from './exchange.js';
 import type { GroupHome } from './group-home.js';
 import type { Job, StatementJob } from './job.js';
 import { isExclusion, primaryExclusion, refuseExcluded } from './upstream-exclusion.js';
@@ -25,10 +25,10 @@
       return withoutAuthority(home, job);
     }
     const { record } = home;
-    const slot = record === undefined ? undefined : home.slot(record.primary);
+    const slot = record === undefined ? undefined : home.pool(record.primary);
     if (slot === undefined) return last;
     const borrowed = await borrow(home, slot, job, job.work);
-    if (borrowed.isErr()) return notBorrowed(home, borrowed.error);
+    if (borrowed.isErr()) return refuseWithoutConnection(home, borrowed.error);
     const outcome = await writeOnce(home, job, borrowed.value);
     if (!mayRepeat(outcome)) return outcome;
     last = outcome;
@@ -37,9 +37,13 @@
   return last;
 }
 
-async function writeOnce(home: GroupHome, job: StatementJob, borrowed: Borrowed): Promise<Outcome> {
+async function writeOnce(
+  home: GroupHome,
+  job: StatementJob,
+  borrowed: BorrowedConnection,
+): Promise<Outcome> {
   const { lease } = borrowed;
-  if (!tellsAsPrimary(home, borrowed, performance.now())) {
+  if (!isValidPrimaryAnswer(home, borrowed, performance.now())) {
     lease.release();
     return refused(RefusalReason.NoAuthority, home.group);
   }
@@ -52,11 +56,11 @@
     lease.connection.forgetPrepared();
   }
   lease.release();
-  return confirmed(home, borrowed, answer);
+  return writeOutcome(home, borrowed, answer);
 }
 
 /** Refusal of work for which no connection to the primary could be had. */
-export function notBorrowed(home: GroupHome, reason: RefusalReason): Outcome {
+export function refuseWithoutConnection(home: GroupHome, reason: RefusalReason): Outcome {
   if (isExclusion(reason)) return { kind: 'refused', refusal: refuseExcluded(home, reason) };
   if (reason === RefusalReason.UpstreamUnreachable) return withoutPrimary(home, reason);
   return refused(reason, home.group);
@@ -73,7 +77,11 @@
 }
 
 /** Outcome of a commit or single write, given what came back. */
-export function confirmed(home: GroupHome, borrowed: Borrowed, answer: UpstreamAnswer): Outcome {
+export function writeOutcome(
+  home: GroupHome,
+  borrowed: BorrowedConnection,
+  answer: UpstreamAnswer,
+): Outcome {
   if (answer.kind === 'lost') {
     const timedOut = answer.loss === ConnectionLoss.Timeout;
     return refused(timedOut ? RefusalReason.StatementTimeout : RefusalReason.UpstreamLost);
@@ -83,7 +91,7 @@
     return { kind: 'faulted', fault, code, text };
   }
   const { record } = borrowed;
-  if (record === undefined || !tellsAsPrimary(home, borrowed, performance.now())) {
+  if (record === undefined || !isValidPrimaryAnswer(home, borrowed, performance.now())) {
     return refused(RefusalReason.AuthorityLapsed, home.group);
   }
   const { rows, signature, position } = answer;
--- a/packages/gateway/src/limits/allowance-keeper.ts
+++ b/packages/gateway/src/limits/allowance-owner.ts
@@ -20,7 +20,7 @@
 import type { AllowanceOwnerDirectory } from '../knowledge/allowance-owner-directory.js';
 
 /** What a keeper works on. */
-export interface AllowanceKeeperOptions {
+export interface AllowanceOwnerOptions {
   readonly board: GatewayBoard;
   readonly directory: Pick<AllowanceOwnerDirectory, 'ownersOf' | 'unchangedSince'>;
   /** Whether another host answers this one, as far as is known at `now`. */
@@ -31,7 +31,7 @@
 }
 
 /** Answer to a question for operations. */
-export interface KeeperAnswer {
+export interface AllowanceReply {
   /** Whether this host keeps the allowance; if not, the rest tells nothing. */
   readonly kept: boolean;
   readonly granted: number;
@@ -50,7 +50,7 @@
 
 /** What a host is for an allowance. */
 enum Role {
-  Keeper = 'keeper',
+  Owner = 'keeper',
   StandIn = 'stand-in',
   None = 'none',
 }
@@ -58,10 +58,10 @@
 /** Time without a question after which a stand-in begins anew, milliseconds: longer than any window. */
 const STAND_IN_REST_MS = 10_000;
 
-const NOT_KEPT: KeeperAnswer = { kept: false, granted: 0, retryAfterMs: 0 };
+const NOT_KEPT: AllowanceReply = { kept: false, granted: 0, retryAfterMs: 0 };
 
 /** Keeper of one host. */
-export class AllowanceKeeper implements PeerHandler {
+export class AllowanceOwner implements PeerHandler {
   private readonly kept = new Map<WorkspaceId, Kept>();
   private readonly stoodIn = new Map<WorkspaceId, Kept>();
   /** Local time of the latest proof. */
@@ -69,10 +69,10 @@
   /** Local time since which this host has had proofs without a gap. */
   private provenSince = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly options: AllowanceKeeperOptions) {}
+  constructor(private readonly options: AllowanceOwnerOptions) {}
 
   /** Grants up to `wanted` operations of a workspace at `now`. */
-  ask(workspace: WorkspaceId, wanted: number, now: number): KeeperAnswer {
+  ask(workspace: WorkspaceId, wanted: number, now: number): AllowanceReply {
     const { board, tolerance } = this.options;
     const limit = board.catalog?.workspaces.get(workspace)?.limit;
     const kept = limit && this.allowanceOf(workspace, limit, now);
@@ -123,7 +123,7 @@
     now: number,
   ): Kept | undefined {
     switch (this.roleFor(workspace, now)) {
-      case Role.Keeper: {
+      case Role.Owner: {
         const since = Math.max(this.options.directory.unchangedSince, this.provenSince);
         return this.held(this.kept, workspace, () => this.begin(limit, since, now));
       }
@@ -156,7 +156,7 @@
     const { board, directory, authority, isReachable } = this.options;
     if (board.isIsolated(now, authority)) return Role.None;
     const [keeper, standIn] = directory.ownersOf(workspace);
-    if (keeper === board.host) return Role.Keeper;
+    if (keeper === board.host) return Role.Owner;
     if (standIn !== board.host || keeper === undefined) return Role.None;
     return isReachable(keeper, now) ? Role.None : Role.StandIn;
   }
--- a/packages/gateway/src/limits/operation-limits.ts
+++ b/packages/gateway/src/limits/operation-limits.ts
@@ -14,7 +14,7 @@
 import { FrameKind } from '@gladespool/protocol';
 import type { GatewayBoard } from '../knowledge/board.js';
 import type { PeerCalls } from '../peering/peer-calls.js';
-import type { AllowanceKeeper, KeeperAnswer } from './allowance-keeper.js';
+import type { AllowanceOwner, AllowanceReply } from './allowance-owner.js';
 import type { AllowanceOwnerDirectory } from '../knowledge/allowance-owner-directory.js';
 
 /** Admits operations. */
@@ -22,20 +22,20 @@
   /** Admits one operation that begins at `now`; else tells why not. */
   admit(workspace: Workspace, now: number): Promise<Refusal | undefined>;
   /** Gives back an operation that was admitted and of which nothing ran. */
-  giveBack(workspace: Workspace, now: number): void;
+  refund(workspace: Workspace, now: number): void;
 }
 
 /** Limits of a deployment without workspaces. */
 export const UNLIMITED: OperationLimits = {
   admit: () => Promise.resolve(undefined),
-  giveBack: () => undefined,
+  refund: () => undefined,
 };
 
 /** What the limits of a host work with. */
 export interface FleetLimitsOptions {
   readonly board: GatewayBoard;
   readonly directory: Pick<AllowanceOwnerDirectory, 'ownersOf'>;
-  readonly keeper: Pick<AllowanceKeeper, 'ask'>;
+  readonly keeper: Pick<AllowanceOwner, 'ask'>;
   readonly calls: Pick<PeerCalls, 'request' | 'isReachable'>;
   readonly tolerance: LimitTolerance;
   readonly metrics: HostMetrics;
@@ -92,7 +92,7 @@
     });
   }
 
-  giveBack({ id, limit }: Workspace, now: number): void {
+  refund({ id, limit }: Workspace, now: number): void {
     if (limit !== undefined) this.account(id).givenBack.push(now + GIVEN_BACK_MS);
   }
 
@@ -126,7 +126,7 @@
   }
 
   /** Asks the keeper, and its stand-in if the keeper gives no answer. */
-  private async ask(workspace: WorkspaceId, wanted: number): Promise<KeeperAnswer | undefined> {
+  private async ask(workspace: WorkspaceId, wanted: number): Promise<AllowanceReply | undefined> {
     const { board, directory, keeper } = this.options;
     for (const host of directory.ownersOf(workspace)) {
       const isOwn = host === board.host;
@@ -142,7 +142,7 @@
     host: HostId,
     workspace: WorkspaceId,
     wanted: number,
-  ): Promise<KeeperAnswer | undefined> {
+  ): Promise<AllowanceReply | undefined> {
     const { board, calls } = this.options;
     const peer = board.hosts.get(host);
     if (peer === undefined || !calls.isReachable(peer, performance.now())) return undefined;
@@ -184,7 +184,7 @@
   workspace: WorkspaceId,
   account: Account,
   asking: readonly Settle[],
-  answer: KeeperAnswer,
+  answer: AllowanceReply,
   now: number,
 ): void {
   const { granted, retryAfterMs } = answer;
--- a/packages/gateway/tests/evacuation.steps.ts
+++ b/packages/gateway/tests/evacuation.steps.ts
@@ -192,7 +192,7 @@
       this.board.putEvacuations(evacuationsAt(performance.now(), evacuated));
       return connect(...args);
     };
-    const slot = this.home.slot(FORMER);
+    const slot = this.home.pool(FORMER);
     assert.ok(slot);
     const arrivedAt = performance.now();
     const job = { ...jobOf(Consistency.Primary, 3000), arrivedAt };
--- a/packages/gateway/tests/fakes/fake-deployment.ts
+++ b/packages/gateway/tests/fakes/fake-deployment.ts
@@ -38,7 +38,7 @@
   GatewayHost,
   UNRELATED_KEY,
   ReportedRole,
-  RequestJournal,
+  RequestRecorder,
   Session,
   StatementKind,
   usedDocument,
@@ -76,7 +76,7 @@
   tolerance: NO_TOLERANCE,
   warmupTolerance: { overrun: 1, slack: 0 },
   evacuationMs: 5000,
-  drain: { acceptMs: 0, transactionsMs: 10, endMs: 20, leaveMs: 2000 },
+  drain: { acceptMs: 0, transactionsMs: 10, statementsMs: 20, deregisterMs: 2000 },
   maxCallers: 10,
   startTimeoutMs: 1000,
 };
@@ -146,14 +146,14 @@
   /** Runs one statement in a session of its own. */
   async run(host: FakeHost, text: string): Promise<Outcome> {
     const { board } = host.gateway;
-    const journal = new RequestJournal(board, host.metrics, createLogger('test'));
+    const journal = new RequestRecorder(board, host.metrics, createLogger('test'));
     const { routing: executor, limits } = host.gateway;
     const session = new Session(DATABASE, KEY, {
       board,
       executor,
       limits,
       keys: RULES.keys,
-      journal,
+      recorder: journal,
     });
     const access = text.startsWith('READ') ? Access.Read : Access.Write;
     const statement = { kind: StatementKind.Run, access, text } as const;
--- a/packages/gateway/tests/isolation-guard.steps.ts
+++ b/packages/gateway/tests/isolation-guard.steps.ts
@@ -23,8 +23,8 @@
     this.guard = new IsolationGuard({
       board: this.board,
       authority: DEFAULT_AUTHORITY,
-      noticedAfterMs,
-      sendAway: () => {
+      balancerDelayMs: noticedAfterMs,
+      closeSessionsWhenIdle: () => {
         this.sentAway += 1;
       },
       log: createLogger('test'),
--- a/packages/gateway/tests/session.steps.ts
+++ b/packages/gateway/tests/session.steps.ts
@@ -29,7 +29,7 @@
 import {
   DONE,
   GatewayBoard,
-  RequestJournal,
+  RequestRecorder,
   Session,
   StatementKind,
   UNLIMITED,
@@ -95,7 +95,7 @@
     return Promise.resolve(undefined);
   }
 
-  giveBack(): void {
+  refund(): void {
     this.givenBack += 1;
   }
 }
@@ -188,14 +188,14 @@
   world.board = new GatewayBoard(hostId('h1'), azId('z1'));
   putRoutes(world, 1, [DATABASE]);
   world.executor = new FakeExecutor();
-  const journal = new RequestJournal(world.board, new HostMetrics(), createLogger('test'));
+  const journal = new RequestRecorder(world.board, new HostMetrics(), createLogger('test'));
   const { board, executor } = world;
   world.session = new Session(DATABASE, KEY, {
     board,
     executor,
     limits: UNLIMITED,
     keys: KEYS,
-    journal,
+    recorder: journal,
   });
 }
 
@@ -313,13 +313,13 @@
     putRoutes(this, 1, [DATABASE], access === 'public');
     this.executor = new FakeExecutor();
     this.limits = new CountingLimits();
-    const journal = new RequestJournal(this.board, new HostMetrics(), createLogger('test'));
+    const journal = new RequestRecorder(this.board, new HostMetrics(), createLogger('test'));
     this.session = new Session(DATABASE, key, {
       board: this.board,
       executor: this.executor,
       limits: this.limits,
       keys: this.keyRules ?? KEYS,
-      journal,
+      recorder: journal,
     });
   },
 );
--- a/packages/gateway/tests/work-near-upstreams.steps.ts
+++ b/packages/gateway/tests/work-near-upstreams.steps.ts
@@ -18,7 +18,7 @@
 import { FrameKind } from '@gladespool/protocol';
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
-import { MarkExchange } from '../src/forward/mark-exchange.js';
+import { WatermarkExchange } from '../src/forward/watermark-exchange.js';
 import { RoutedExecutor } from '../src/forward/routed-executor.js';
 import type { GroupHome, HomeContext, StatementJob, UpstreamEntry } from '../src/index.js';
 import { GatewayBoard, LocalExecutor, ReportedRole } from '../src/index.js';
@@ -35,7 +35,7 @@
   /** Connections that this host tried to open. */
   dialled: number;
   home: GroupHome;
-  marks: MarkExchange;
+  marks: WatermarkExchange;
   now: number;
   told: Frame | undefined;
 }
@@ -208,7 +208,7 @@
     const local = new LocalExecutor(context);
     this.home = local.home(GROUP);
     const calls = callsOf(this);
-    this.marks = new MarkExchange({ board, directory, calls, home: () => this.home });
+    this.marks = new WatermarkExchange({ board, directory, calls, home: () => this.home });
     if (age === 'none') return;
     this.home.marks.startEpoch(1);
     this.home.marks.add({ sentAt: this.now - Number(age), position: { term: 1, offset: 1 } });
@@ -221,9 +221,9 @@
     const mark = { position: { term: 1, offset: 2 }, ageMs: Number(ageMs) };
     const reply = { kind: FrameKind.WatermarkReply, id: 1 } as const;
     this.told = epoch === 'none' ? reply : { ...reply, mark };
-    this.marks.keepFresh(jobOf(Access.Read), this.now);
+    this.marks.refreshIfStale(jobOf(Access.Read), this.now);
     // A second read at the same time asks no second time.
-    this.marks.keepFresh(jobOf(Access.Read), this.now);
+    this.marks.refreshIfStale(jobOf(Access.Read), this.now);
     await new Promise((resolve) => setImmediate(resolve));
   },
 );
@@ -241,7 +241,7 @@
   'its proof has run out, and it is told a mark that is {int} ms old',
   function (this: NearWorld, ageMs: number) {
     const later = this.now + 10_000;
-    this.home.addMark(RECORD, later - ageMs, { term: 1, offset: 2 }, later);
+    this.home.addWatermark(RECORD, later - ageMs, { term: 1, offset: 2 }, later);
   },
 );
 
--- a/packages/gateway/tests/workspace-limits-in-action.steps.ts
+++ b/packages/gateway/tests/workspace-limits-in-action.steps.ts
@@ -13,8 +13,8 @@
 import { createLogger, HostMetrics } from '@gladespool/observability';
 import { FrameKind } from '@gladespool/protocol';
 import { err, ok } from 'neverthrow';
-import type { KeeperAnswer, Outcome } from '../src/index.js';
-import { AllowanceKeeper, FleetLimits, GatewayBoard } from '../src/index.js';
+import type { AllowanceReply, Outcome } from '../src/index.js';
+import { AllowanceOwner, FleetLimits, GatewayBoard } from '../src/index.js';
 import { FakeDeployment, WORKSPACE } from './fakes/fake-deployment.js';
 
 const MS_PER_SECOND = 1000;
@@ -23,7 +23,7 @@
 const HOST = hostId('h1');
 const AZ = azId('z1');
 const LIMITED: Workspace = { id: workspaceId('w'), limit: { ratePerS: 10, burst: 10 } };
-const NOT_KEPT: KeeperAnswer = { kept: false, granted: 0, retryAfterMs: 0 };
+const NOT_KEPT: AllowanceReply = { kept: false, granted: 0, retryAfterMs: 0 };
 
 interface LimitsWorld {
   deployment: FakeDeployment | undefined;
@@ -90,7 +90,7 @@
   },
 );
 
-function parseAnswer(text: string): KeeperAnswer | undefined {
+function parseAnswer(text: string): AllowanceReply | undefined {
   if (text === 'lost') return undefined;
   if (text === 'none') return NOT_KEPT;
   const [granted = 0, retryAfterMs = 0] = text.split('/').map(Number);
@@ -129,7 +129,7 @@
   const [what, count = '1'] = event.split(':');
   const now = performance.now();
   if (what === 'give-back') {
-    world.limits.giveBack(LIMITED, now);
+    world.limits.refund(LIMITED, now);
     return;
   }
   const asking = Array.from({ length: Number(count) }, () => world.limits.admit(LIMITED, now));
@@ -178,7 +178,7 @@
     const usual = [hostId('k'), hostId('s')];
     let keepers = usual;
     const directory = { ownersOf: () => keepers, unchangedSince: 0 };
-    const keeper = new AllowanceKeeper({
+    const keeper = new AllowanceOwner({
       board,
       directory,
       isReachable: () => known !== 'it misses the keeper',
