--- a/packages/gateway/src/control/control-plane.ts
+++ b/packages/gateway/src/control/control-plane.ts
@@ -24,18 +24,18 @@
 import { HostRetirer } from './hosts/host-retirer.js';
 import type { MetadataStore } from './store/metadata-store.js';
 import { PeerCalls } from '../peering/peer-calls.js';
-import { PeerRenewer } from './proofs/peer-renewer.js';
-import { DEFAULT_MONITOR, PrimaryMonitor } from './promotion/primary-monitor.js';
-import type { PromotionPort } from './promotion/promotion-call.js';
+import { PeerProofRenewer } from './proofs/peer-proof-renewer.js';
+import { DEFAULT_MONITOR_RULES, PrimaryMonitor } from './promotion/primary-monitor.js';
+import type { PromotionPort } from './promotion/promotion-port.js';
 import { PromotionController } from './promotion/promotion-controller.js';
-import { DEFAULT_PROOFS, ProofKeeper } from './proofs/proof-keeper.js';
-import { RecordFounder } from './promotion/record-founder.js';
+import { DEFAULT_PROOF_RULES, ProofRenewer } from './proofs/proof-renewer.js';
+import { InitialRecordWriter } from './promotion/initial-record-writer.js';
 import { HostRegistrar } from './store/registrar.js';
 import { RelayOrder } from '../knowledge/relay-order.js';
 import { DEFAULT_FOLLOWER, StoreFollower } from './store/store-follower.js';
 import type { ForeignDocumentReader } from './store/foreign-documents.js';
 import { StoreView } from './store/store-view.js';
-import { SyncAnswers } from './proofs/sync-answers.js';
+import { SyncResponder } from './proofs/sync-responder.js';
 import { SyncService } from './proofs/sync-service.js';
 import type { WriteHolds } from '../knowledge/write-holds.js';
 
@@ -72,13 +72,13 @@
   private readonly order: RelayOrder;
   private readonly follower: StoreFollower;
   private readonly registrar: HostRegistrar;
-  private readonly proofs: ProofKeeper;
-  private readonly founder: RecordFounder;
+  private readonly proofs: ProofRenewer;
+  private readonly founder: InitialRecordWriter;
   private readonly documents: DocumentExchange;
   private readonly round: HostRound;
   private readonly sync: SyncService;
-  private readonly answers: SyncAnswers;
-  private readonly renewer: PeerRenewer;
+  private readonly answers: SyncResponder;
+  private readonly renewer: PeerProofRenewer;
   private readonly retirer: HostRetirer;
   private readonly opener: EraOpener;
   private readonly probe: UpstreamProbe;
@@ -103,7 +103,7 @@
     this.follower = this.createFollower();
     this.registrar = new HostRegistrar(self, board, this.store, this.log);
     this.proofs = this.createProofs();
-    this.founder = new RecordFounder({
+    this.founder = new InitialRecordWriter({
       board,
       store: this.store,
       view: this.view,
@@ -115,7 +115,7 @@
     const { view, calls, round, log } = this;
     this.documents = new DocumentExchange({ view, calls, log });
     this.sync = this.createSync();
-    this.answers = new SyncAnswers({ board, view, proofs: this.proofs });
+    this.answers = new SyncResponder({ board, view, proofs: this.proofs });
     this.renewer = this.createRenewer();
     this.retirer = this.createRetirer();
     this.opener = this.createOpener();
@@ -173,7 +173,7 @@
   /** Acts on whatever is late at `now`. */
   private judgeOthers(now: number): void {
     this.calls.tick(now);
-    this.sync.seekHelp(now);
+    this.sync.syncFromFallbacks(now);
     this.answers.tick(now);
     this.renewer.tick(now);
     this.retirer.tick(now);
@@ -189,11 +189,11 @@
     return new StoreFollower({ store, view, metrics, log, rules: DEFAULT_FOLLOWER });
   }
 
-  private createProofs(): ProofKeeper {
+  private createProofs(): ProofRenewer {
     const { self, board } = this.options;
     const { store, view, follower, registrar, log } = this;
-    const rules = DEFAULT_PROOFS;
-    return new ProofKeeper({ self, board, store, view, follower, registrar, rules, log });
+    const rules = DEFAULT_PROOF_RULES;
+    return new ProofRenewer({ self, board, store, view, follower, registrar, rules, log });
   }
 
   private createProbe(): UpstreamProbe {
@@ -256,9 +256,9 @@
     });
   }
 
-  private createRenewer(): PeerRenewer {
+  private createRenewer(): PeerProofRenewer {
     const { self, board, rules } = this.options;
-    return new PeerRenewer({
+    return new PeerProofRenewer({
       self,
       board,
       view: this.view,
@@ -274,7 +274,12 @@
   private createPromotions(): PromotionController {
     const { self, board, directory, promotions } = this.options;
     const { holds, home, reach, rules, metrics } = this.options;
-    const monitor = new PrimaryMonitor({ board, home, probe: this.probe, rules: DEFAULT_MONITOR });
+    const monitor = new PrimaryMonitor({
+      board,
+      home,
+      probe: this.probe,
+      rules: DEFAULT_MONITOR_RULES,
+    });
     return new PromotionController({
       monitor,
       reach,
@@ -289,7 +294,7 @@
         round: this.round,
         probe: this.probe,
         holds,
-        claims: new ClaimLock(),
+        claimLock: new ClaimLock(),
         port: promotions,
         authority: rules.home.authority,
         rules: rules.failover,
--- a/packages/gateway/src/control/hosts/host-round.ts
+++ b/packages/gateway/src/control/hosts/host-round.ts
@@ -15,10 +15,10 @@
 import type { RelayOrder } from '../../knowledge/relay-order.js';
 
 /** A question that all hosts may be asked. */
-export type RoundQuestion = FrameOf<FrameKind.RoundRequest>['question'];
+export type RoundRequest = FrameOf<FrameKind.RoundRequest>['question'];
 
 /** One host's answer. */
-export interface RoundAnswer {
+export interface RoundReply {
   readonly host: HostId;
   /** Incarnation of the process that answered, if it told; else that which was listed. */
   readonly incarnation: number;
@@ -42,7 +42,7 @@
 /** Time for which answers of a zone are gathered before they are passed on together, milliseconds. */
 const GATHER_MS = 20;
 
-type Take = (answer: RoundAnswer) => void;
+type Take = (answer: RoundReply) => void;
 
 /** A round whose answers come by way of other hosts. */
 interface OpenRound {
@@ -75,15 +75,15 @@
    *
    * @returns once all have answered or `timeoutMs` is over, the hosts that answered
    */
-  async askAll(
-    question: RoundQuestion,
+  async requestAll(
+    question: RoundRequest,
     timeoutMs: number,
     onAnswer: Take = () => undefined,
   ): Promise<ReadonlySet<HostId>> {
     const answered = new Set<HostId>();
     // A zone's first hosts may know of hosts that are not on this list; those are part of no majority of it.
     const listed = new Set(this.others.map((entry) => entry.host));
-    const take = (answer: RoundAnswer): void => {
+    const take = (answer: RoundReply): void => {
       if (!listed.has(answer.host) || answered.has(answer.host)) return;
       answered.add(answer.host);
       onAnswer(answer);
@@ -97,7 +97,7 @@
    * Tells the other hosts of news: each one of a small zone, the first ones of a larger zone, on which the
    * questions of the others wait for it.
    */
-  tellAll(frame: FrameOf<FrameKind.StoreUpdate>): void {
+  notifyAll(frame: FrameOf<FrameKind.StoreUpdate>): void {
     const zones = [...new Set(this.others.map((entry) => entry.az))];
     for (const entry of zones.flatMap((az) => this.toldFirst(az))) {
       void this.options.calls.notify(entry, frame);
@@ -115,7 +115,7 @@
 
   private async askZone(
     az: AzId,
-    question: RoundQuestion,
+    question: RoundRequest,
     timeoutMs: number,
     take: Take,
   ): Promise<void> {
@@ -159,7 +159,7 @@
 
   private async askHost(
     entry: HostEntry,
-    question: RoundQuestion,
+    question: RoundRequest,
     timeoutMs: number,
     take: Take,
   ): Promise<void> {
@@ -178,7 +178,7 @@
   /** Resolves once the host has asked all of its zone, or `timeoutMs` is over. */
   private askByWayOf(
     entry: HostEntry,
-    question: RoundQuestion,
+    question: RoundRequest,
     timeoutMs: number,
     take: Take,
   ): Promise<void> {
@@ -211,7 +211,7 @@
     const { board, order } = this.options;
     const { round, question, waitMs } = ask;
     const hosts = order.hosts.filter((entry) => entry.host !== board.host);
-    let gathered: RoundAnswer[] = [];
+    let gathered: RoundReply[] = [];
     const passOn = (done: boolean): void => {
       link.send(answersFrame(round, gathered, done));
       gathered = [];
@@ -219,7 +219,7 @@
     const timer = setInterval(() => {
       if (gathered.length > 0) passOn(false);
     }, GATHER_MS);
-    const take = (answer: RoundAnswer): void => {
+    const take = (answer: RoundReply): void => {
       gathered.push(answer);
     };
     await Promise.all(hosts.map((entry) => this.askHost(entry, question, waitMs, take)));
@@ -230,7 +230,7 @@
 
 function answersFrame(
   round: number,
-  answers: readonly RoundAnswer[],
+  answers: readonly RoundReply[],
   done: boolean,
 ): FrameOf<FrameKind.RoundReplies> {
   return {
--- a/packages/gateway/src/control/promotion/acting-hosts.ts
+++ b/packages/gateway/src/control/promotion/failover-order.ts
@@ -13,7 +13,7 @@
 import type { StoreView } from '../store/store-view.js';
 
 /** What the order is made from. */
-export interface ActingHostsOptions {
+export interface FailoverOrderOptions {
   readonly board: GatewayBoard;
   readonly view: Pick<StoreView, 'seenDuty'>;
   readonly rules: FailoverRules;
@@ -26,14 +26,14 @@
 type RankedHosts = Map<RegionId | undefined, readonly HostId[]>;
 
 /** Orders as one host sees them. */
-export class ActingHosts {
+export class FailoverOrder {
   /** The listed hosts that `ranked` was made of. */
   private rankedFrom: ReadonlyMap<HostId, HostEntry> | undefined;
   private ranked: RankedHosts = new Map();
   /** Region of most of each group's upstreams; undefined until it is asked for again. */
   private regions: ReadonlyMap<GroupId, RegionId | undefined> | undefined;
 
-  constructor(private readonly options: ActingHostsOptions) {
+  constructor(private readonly options: FailoverOrderOptions) {
     options.board.onChange(BoardSection.Upstreams, () => {
       this.regions = undefined;
     });
@@ -43,18 +43,18 @@
    * All hosts in the order in which they act on a group at `now`: by rank, those of the group's region and
    * the holder of the duty first.
    */
-  order(group: GroupId, now: number): readonly HostId[] {
+  hostsFor(group: GroupId, now: number): readonly HostId[] {
     const { view, rules } = this.options;
     return failoverOrder(this.rankedFor(this.regionOfGroup(group)), view.seenDuty, now, rules);
   }
 
   /** Place of this host in that order by group; -1 while it is not listed. Each region is looked at once. */
-  places(now: number): (group: GroupId) => number {
+  ownRanks(now: number): (group: GroupId) => number {
     const { board } = this.options;
     const places = new Map<RegionId | undefined, number>();
     return (group) => {
       const region = this.regionOfGroup(group);
-      const place = places.get(region) ?? this.order(group, now).indexOf(board.host);
+      const place = places.get(region) ?? this.hostsFor(group, now).indexOf(board.host);
       places.set(region, place);
       return place;
     };
--- a/packages/gateway/src/control/promotion/record-founder.ts
+++ b/packages/gateway/src/control/promotion/initial-record-writer.ts
@@ -13,7 +13,7 @@
 import type { StoreView } from '../store/store-view.js';
 
 /** What the founder works on. */
-export interface RecordFounderOptions {
+export interface InitialRecordWriterOptions {
   readonly board: GatewayBoard;
   readonly store: MetadataStore;
   readonly view: StoreView;
@@ -28,11 +28,11 @@
 const RANK_DELAY_MS = 300;
 
 /** Founds records of groups that have none. */
-export class RecordFounder {
+export class InitialRecordWriter {
   private readonly missingSince = new Map<GroupId, number>();
   private readonly writing = new Set<GroupId>();
 
-  constructor(private readonly options: RecordFounderOptions) {}
+  constructor(private readonly options: InitialRecordWriterOptions) {}
 
   /** Founds what is missing at `now` and due to this host. */
   tick(now: number): void {
--- a/packages/gateway/src/control/promotion/primary-monitor.ts
+++ b/packages/gateway/src/control/promotion/primary-monitor.ts
@@ -12,21 +12,21 @@
 /** Times of the monitor. */
 export interface MonitorRules {
   /** Time without an answer, with statements waiting for one, after which a probe is sent, milliseconds. */
-  readonly quietMs: number;
+  readonly probeAfterMs: number;
   /** The same with nothing waiting, on the host that acts first, milliseconds. */
-  readonly idleQuietMs: number;
+  readonly idleProbeAfterMs: number;
   /** Longest time for a probe, milliseconds. */
   readonly probeTimeoutMs: number;
   /** Age up to which an answer or a failure shows whether the primary is reached, milliseconds. */
-  readonly freshMs: number;
+  readonly maxEvidenceAgeMs: number;
 }
 
 /** Played days answer in 35 ms in the middle and 160 ms at the 99th percentile; 200 ms is beyond both. */
-export const DEFAULT_MONITOR: MonitorRules = {
-  quietMs: 200,
-  idleQuietMs: 1000,
+export const DEFAULT_MONITOR_RULES: MonitorRules = {
+  probeAfterMs: 200,
+  idleProbeAfterMs: 1000,
   probeTimeoutMs: 200,
-  freshMs: 200,
+  maxEvidenceAgeMs: 200,
 };
 
 /** What the monitor works on. */
@@ -50,8 +50,8 @@
       const health = this.healthOf(record.group);
       if (health === undefined) continue;
       const quietMs = now - health.lastAnswerAt;
-      const waiting = health.inFlight > 0 && quietMs > rules.quietMs;
-      const idle = quietMs > rules.idleQuietMs && actsFirst(record.group);
+      const waiting = health.inFlight > 0 && quietMs > rules.probeAfterMs;
+      const idle = quietMs > rules.idleProbeAfterMs && actsFirst(record.group);
       const failing = health.failingSince ?? this.deposedSince(record.group);
       if (waiting || idle || failing !== undefined) void this.probe(record.group);
     }
@@ -74,7 +74,7 @@
    */
   async reaches(group: GroupId): Promise<boolean | undefined> {
     const health = this.healthOf(group);
-    const { freshMs } = this.options.rules;
+    const { maxEvidenceAgeMs: freshMs } = this.options.rules;
     const now = performance.now();
     if (this.deposedSince(group) !== undefined) return false;
     if (now - (health?.lastAnswerAt ?? Number.NEGATIVE_INFINITY) < freshMs) return true;
@@ -114,7 +114,7 @@
     const reached =
       answersAsPrimary(result) && !home(group).detectLogLoss(slot.entry.id, floor, toldBy(result));
     if (reached) health.noteAlive(now);
-    else health.noteFailure(now, startedAt - rules.quietMs);
+    else health.noteFailure(now, startedAt - rules.probeAfterMs);
     return reached;
   }
 }
--- a/packages/gateway/src/control/promotion/promotion-attempt.ts
+++ b/packages/gateway/src/control/promotion/promotion-attempt.ts
@@ -21,9 +21,9 @@
 import { PromotionLog } from './promotion-log.js';
 import type { RecordClaim } from './record-claimer.js';
 import { RecordClaimer } from './record-claimer.js';
-import { CallEnd, SuccessorLead } from './successor-lead.js';
+import { PromotionCallOutcome, SuccessorPromoter } from './successor-promoter.js';
 import { SuccessorSearch } from './successor-search.js';
-import { entryOf, isEvacuated } from './upstream-standing.js';
+import { currentEntryOf, isInEvacuatedZone } from './upstream-lookup.js';
 
 /** Causes with which the former primary still serves. */
 const PLANNED: ReadonlySet<PromotionCause> = new Set([
@@ -62,7 +62,7 @@
   private readonly startedAt = performance.now();
   private readonly log: PromotionLog;
   private readonly search: SuccessorSearch;
-  private readonly lead: SuccessorLead;
+  private readonly lead: SuccessorPromoter;
 
   /** @param refused the upstream that the platform has refused to promote, as far as this host knows */
   constructor(
@@ -73,7 +73,7 @@
   ) {
     this.log = new PromotionLog(ctx.log, former, cause);
     this.search = new SuccessorSearch(ctx, this.log);
-    this.lead = new SuccessorLead(former.group, ctx, this.log);
+    this.lead = new SuccessorPromoter(former.group, ctx, this.log);
   }
 
   /** Runs to the end; true when a primary serves under a new epoch. */
@@ -90,7 +90,7 @@
     const named = await this.name(claim, successor);
     if (named === undefined) return false;
     if (!(await this.promote(named, successor))) return this.giveUp('not-promoted');
-    if (!(await this.lead.takesEffect(successor))) return this.leaveToOthers(claim);
+    if (!(await this.lead.waitUntilPrimary(successor))) return this.leaveToOthers(claim);
     return this.publish(named, successor);
   }
 
@@ -101,8 +101,8 @@
 
   /** Whether the former primary need not leave any more, or has an entry again. */
   private get formerStays(): boolean {
-    const isLeaving = entryOf(this.ctx.board, this.formerIdentity)?.draining ?? true;
-    return !isLeaving && !isEvacuated(this.ctx.board, this.former.primary);
+    const isLeaving = currentEntryOf(this.ctx.board, this.formerIdentity)?.draining ?? true;
+    return !isLeaving && !isInEvacuatedZone(this.ctx.board, this.former.primary);
   }
 
   /** The former primary as the record names it, whatever its entry tells by now. */
@@ -112,7 +112,7 @@
 
   /** Prepares a planned change; false when it is put off. */
   private async prepare(): Promise<boolean> {
-    const isReady = await this.search.isReady(this.former);
+    const isReady = await this.search.hasReadySuccessor(this.former);
     if (!isReady) return this.putOff('successor-behind', PUT_OFF_MS);
     if (!(await this.holdWrites())) return this.putOff('few-hosts-answer', HELD_PUT_OFF_MS);
     if (this.formerStays) return this.putOff('primary-stays', HELD_PUT_OFF_MS);
@@ -145,7 +145,7 @@
     const { group, epoch } = this.former;
     const own = this.ctx.holds.hold(group, epoch, HOLD_MS, performance.now());
     const question = { kind: FrameKind.HoldRequest, id: 0, group, epoch, holdMs: HOLD_MS } as const;
-    const others = this.ctx.round.askAll(question, HOLD_MS + HOLD_ANSWER_MS);
+    const others = this.ctx.round.requestAll(question, HOLD_MS + HOLD_ANSWER_MS);
     const [answered] = await Promise.all([others, own]);
     return isMajority(1 + answered.size, this.ctx.board.listedHostCount);
   }
@@ -153,7 +153,7 @@
   /** Claims the record and the duty, once this host's claims before it have ended. */
   private async claim(): Promise<RecordClaim | undefined> {
     const claimer = new RecordClaimer(this.ctx, this.log);
-    const result = await this.ctx.claims.run(() =>
+    const result = await this.ctx.claimLock.run(() =>
       claimer.claim(this.former, this.keptSuccessor, performance.now()),
     );
     if (result.isOk()) return result.value;
@@ -167,8 +167,8 @@
     const { successor } = this.former;
     if (successor === undefined) return undefined;
     return retainedSuccessor(this.former, {
-      isThere: entryOf(board, successor) !== undefined,
-      isEvacuated: isEvacuated(board, successor.id),
+      isThere: currentEntryOf(board, successor) !== undefined,
+      isEvacuated: isInEvacuatedZone(board, successor.id),
       isRefused: this.refused !== undefined && mayBeSameUpstream(this.refused, successor),
     });
   }
@@ -187,7 +187,7 @@
     const { others, unknown } = this.ctx.round;
     const listed = others.length + unknown.length + 1;
     const question = { kind: FrameKind.RevokeRequest, id: 0, item: claim.item } as const;
-    const answered = await this.ctx.round.askAll(question, REVOKE_TIMEOUT_MS, () => {
+    const answered = await this.ctx.round.requestAll(question, REVOKE_TIMEOUT_MS, () => {
       if (isMajority(acked, listed)) return;
       acked += 1;
       majorityAt = performance.now();
@@ -222,7 +222,7 @@
     for (;;) {
       const [found] = await Promise.all([search.find(claim.record), waitUntil(freeAt)]);
       const { successor } = found;
-      if (successor === undefined || !isEvacuated(this.ctx.board, successor.id)) return found;
+      if (successor === undefined || !isInEvacuatedZone(this.ctx.board, successor.id)) return found;
     }
   }
 
@@ -245,9 +245,9 @@
 
   /** Calls for the successor's promotion; false unless the platform has said that it is done. */
   private async promote(claim: RecordClaim, successor: UpstreamIdentity): Promise<boolean> {
-    const end = await this.lead.call(claim, successor);
-    if (end === CallEnd.Refused) this.refused = successor;
-    return end === CallEnd.Done;
+    const end = await this.lead.requestPromotion(claim, successor);
+    if (end === PromotionCallOutcome.Refused) this.refused = successor;
+    return end === PromotionCallOutcome.Done;
   }
 
   /**
@@ -278,7 +278,7 @@
   private async nameServing(claim: RecordClaim, primary: UpstreamIdentity): Promise<boolean> {
     const item = await this.swap(claim, servingRecord(claim.record, primary));
     if (item === undefined) return false;
-    this.ctx.round.tellAll({ kind: FrameKind.StoreUpdate, items: [item] });
+    this.ctx.round.notifyAll({ kind: FrameKind.StoreUpdate, items: [item] });
     return true;
   }
 
--- a/packages/gateway/src/control/promotion/promotion-cause.ts
+++ b/packages/gateway/src/control/promotion/promotion-cause.ts
@@ -7,7 +7,7 @@
   Suspect = 'suspect',
   Draining = 'draining',
   /** It has started anew under its id and holds none of the commits. */
-  BornAnew = 'born-anew',
+  RestartedEmpty = 'born-anew',
   /** It has said itself that it leads no more; no other host need agree. */
   Deposed = 'deposed',
   Evacuated = 'evacuated',
--- a/packages/gateway/src/control/promotion/promotion-context.ts
+++ b/packages/gateway/src/control/promotion/promotion-context.ts
@@ -10,8 +10,8 @@
 import type { HostRound } from '../hosts/host-round.js';
 import type { MetadataStore } from '../store/metadata-store.js';
 import type { PeerCalls } from '../../peering/peer-calls.js';
-import type { PromotionPort } from './promotion-call.js';
-import type { ProofKeeper } from '../proofs/proof-keeper.js';
+import type { PromotionPort } from './promotion-port.js';
+import type { ProofRenewer } from '../proofs/proof-renewer.js';
 import type { StoreView } from '../store/store-view.js';
 import type { WriteHolds } from '../../knowledge/write-holds.js';
 
@@ -22,12 +22,12 @@
   readonly directory: HomeDirectory;
   readonly store: MetadataStore;
   readonly view: StoreView;
-  readonly proofs: ProofKeeper;
+  readonly proofs: ProofRenewer;
   readonly calls: PeerCalls;
   readonly round: HostRound;
   readonly probe: UpstreamProbe;
   readonly holds: WriteHolds;
-  readonly claims: ClaimLock;
+  readonly claimLock: ClaimLock;
   readonly port: PromotionPort;
   readonly authority: AuthorityRules;
   readonly rules: FailoverRules;
--- a/packages/gateway/src/control/promotion/promotion-controller.ts
+++ b/packages/gateway/src/control/promotion/promotion-controller.ts
@@ -23,12 +23,12 @@
 import { FrameKind } from '@gladespool/protocol';
 import type { ReachabilityReports } from '../../knowledge/reachability-reports.js';
 import type { UpstreamEntry } from '../../model/catalog.js';
-import { ActingHosts } from './acting-hosts.js';
+import { FailoverOrder } from './failover-order.js';
 import type { PrimaryMonitor } from './primary-monitor.js';
 import { PromotionAttempt } from './promotion-attempt.js';
 import { PromotionCause } from './promotion-cause.js';
 import type { PromotionContext } from './promotion-context.js';
-import { ReachPoll } from './reach-poll.js';
+import { ReachabilityPoll } from './reachability-poll.js';
 import { primaryKey, readOwnDocument } from '../store/store-documents.js';
 
 /** What the controller works with. */
@@ -88,21 +88,21 @@
 /** Controller of one host. */
 export class PromotionController implements PeerHandler {
   private readonly groups = new Map<GroupId, GroupState>();
-  private readonly poll: ReachPoll;
-  private readonly acting: ActingHosts;
+  private readonly poll: ReachabilityPoll;
+  private readonly acting: FailoverOrder;
 
   constructor(private readonly options: PromotionControllerOptions) {
     const { context, monitor } = options;
     const { board, calls, directory, view, rules } = context;
-    this.acting = new ActingHosts({ board, view, rules });
-    this.poll = new ReachPoll({ board, directory, calls, monitor });
+    this.acting = new FailoverOrder({ board, view, rules });
+    this.poll = new ReachabilityPoll({ board, directory, calls, monitor });
   }
 
   /** Starts what is due at `now`. */
   tick(now: number): void {
     const { monitor, context } = this.options;
     const { board, view } = context;
-    const placeOf = this.acting.places(now);
+    const placeOf = this.acting.ownRanks(now);
     monitor.tick(now, (group) => placeOf(group) === 0);
     if (board.draining || !view.hasLoaded || !board.hosts.has(board.host)) return;
     if (!view.isEraSettled) return;
@@ -207,7 +207,7 @@
     const { view } = this.options.context;
     if (!view.isCompleteUpTo(primaryKey(record.group))) return undefined;
     state.bornAnewSince ??= now;
-    return { cause: PromotionCause.BornAnew, since: state.bornAnewSince };
+    return { cause: PromotionCause.RestartedEmpty, since: state.bornAnewSince };
   }
 
   private async act(record: PrimaryRecord, occasion: Occasion, state: GroupState): Promise<void> {
@@ -298,7 +298,7 @@
   private leaveToOther(other: HostId, group: GroupId): void {
     const { board } = this.options.context;
     const now = performance.now();
-    const order = this.acting.order(group, now);
+    const order = this.acting.hostsFor(group, now);
     if (order.indexOf(other) > order.indexOf(board.host)) return;
     const record = board.record(group);
     if (record === undefined) return;
--- a/packages/gateway/src/control/promotion/promotion-call.ts
+++ b/packages/gateway/src/control/promotion/promotion-port.ts
@@ -14,15 +14,15 @@
 }
 
 /** How the call ended. */
-export enum PromotionAnswer {
+export enum PromotionResult {
   Done = 'done',
   /** That upstream does not run, or the fence is too low. */
   Refused = 'refused',
   /** Not now: too many calls, or the platform can't serve it. */
-  Later = 'later',
+  RetryLater = 'later',
 }
 
 /** Calls for promotions; an error means that the promotion may or may not come about. */
 export interface PromotionPort {
-  promote(req: PromotionRequest): Promise<Result<PromotionAnswer, GladespoolError>>;
+  promote(req: PromotionRequest): Promise<Result<PromotionResult, GladespoolError>>;
 }
--- a/packages/gateway/src/control/promotion/reach-poll.ts
+++ b/packages/gateway/src/control/promotion/reachability-poll.ts
@@ -10,7 +10,7 @@
 import type { PrimaryMonitor } from './primary-monitor.js';
 
 /** What a poll works with. */
-export interface ReachPollOptions {
+export interface ReachabilityPollOptions {
   readonly board: GatewayBoard;
   readonly directory: HomeDirectory;
   readonly calls: PeerCalls;
@@ -18,7 +18,7 @@
 }
 
 /** What a poll found. */
-export interface ReachFindings {
+export interface ReachabilityResult {
   readonly evidence: ReachEvidence;
   /** Hosts that reach the primary, in the order of their answers. */
   readonly reaching: readonly HostId[];
@@ -35,11 +35,11 @@
 }
 
 /** Polls of one host. */
-export class ReachPoll {
-  constructor(private readonly options: ReachPollOptions) {}
+export class ReachabilityPoll {
+  constructor(private readonly options: ReachabilityPollOptions) {}
 
   /** Asks this host and others, `maxOthers` of them at most. */
-  async run(record: PrimaryRecord, maxOthers: number | undefined): Promise<ReachFindings> {
+  async run(record: PrimaryRecord, maxOthers: number | undefined): Promise<ReachabilityResult> {
     const asked = this.hostsToAsk(record.group, maxOthers).map((host) =>
       this.askOther(host, record),
     );
--- a/packages/gateway/src/control/promotion/successor-lead.ts
+++ b/packages/gateway/src/control/promotion/successor-promoter.ts
@@ -7,12 +7,12 @@
 import { comparePositions, formatPosition } from '@gladespool/coordination';
 import type { StatusResult } from '../../home/upstream-probe.js';
 import type { UpstreamStatus } from '../../model/upstream-driver.js';
-import { PromotionAnswer } from './promotion-call.js';
+import { PromotionResult } from './promotion-port.js';
 import type { PromotionContext } from './promotion-context.js';
 import type { PromotionLog } from './promotion-log.js';
 import type { RecordClaim } from './record-claimer.js';
 import { STATUS_TIMEOUT_MS } from './successor-search.js';
-import { entryOf, isEvacuated } from './upstream-standing.js';
+import { currentEntryOf, isInEvacuatedZone } from './upstream-lookup.js';
 
 /** Longest time for one call for a promotion, milliseconds. */
 const CALL_TIMEOUT_MS = 1000;
@@ -25,16 +25,16 @@
 const POLL_MS = 40;
 
 /** How the calls for a promotion ended. */
-export enum CallEnd {
+export enum PromotionCallOutcome {
   Done = 'done',
   /** The platform will not promote that upstream. */
   Refused = 'refused',
   /** No answer that settles it, or the time for calls was over; the promotion may take effect or not. */
-  Unsettled = 'unsettled',
+  Indeterminate = 'unsettled',
 }
 
 /** Calls and waits of one attempt. */
-export class SuccessorLead {
+export class SuccessorPromoter {
   constructor(
     private readonly group: GroupId,
     private readonly ctx: PromotionContext,
@@ -45,15 +45,19 @@
    * Calls for the promotion, never after the duty's window, nor of an upstream that has started anew
    * meanwhile, nor into a zone that is evacuated.
    */
-  async call(claim: RecordClaim, successor: UpstreamIdentity): Promise<CallEnd> {
+  async requestPromotion(
+    claim: RecordClaim,
+    successor: UpstreamIdentity,
+  ): Promise<PromotionCallOutcome> {
     const upstream = successor.id;
     const { port, self, rules, board, view } = this.ctx;
     const windowEnd = claim.sentAt + rules.leaseWindowMs;
     for (let leftMs = windowEnd - performance.now(); leftMs > 0;) {
-      if (entryOf(board, successor) === undefined) return CallEnd.Unsettled;
-      if (isEvacuated(board, upstream)) return CallEnd.Unsettled;
+      if (currentEntryOf(board, successor) === undefined) return PromotionCallOutcome.Indeterminate;
+      if (isInEvacuatedZone(board, upstream)) return PromotionCallOutcome.Indeterminate;
       // A store that came back from a copy may have lost the duty, and let another host take it.
-      if (view.ownPosition.era !== claim.item.position.era) return CallEnd.Unsettled;
+      if (view.ownPosition.era !== claim.item.position.era)
+        return PromotionCallOutcome.Indeterminate;
       const answer = await port.promote({
         group: this.group,
         upstream,
@@ -63,12 +67,13 @@
       });
       const told = answer.isOk() ? answer.value : answer.error.message;
       this.log.info('promotion-called', { upstream, fence: claim.fence, result: told });
-      if (answer.isOk() && answer.value === PromotionAnswer.Done) return CallEnd.Done;
-      if (answer.isOk() && answer.value === PromotionAnswer.Refused) return CallEnd.Refused;
+      if (answer.isOk() && answer.value === PromotionResult.Done) return PromotionCallOutcome.Done;
+      if (answer.isOk() && answer.value === PromotionResult.Refused)
+        return PromotionCallOutcome.Refused;
       await pause(POLL_MS);
       leftMs = windowEnd - performance.now();
     }
-    return CallEnd.Unsettled;
+    return PromotionCallOutcome.Indeterminate;
   }
 
   /**
@@ -77,12 +82,12 @@
    *
    * @returns false when that has not come about yet, or can't any more
    */
-  async takesEffect(successor: NamedSuccessor): Promise<boolean> {
+  async waitUntilPrimary(successor: NamedSuccessor): Promise<boolean> {
     const { probe, board } = this.ctx;
     const until = performance.now() + EFFECT_MS;
     let hasLed = false;
     while (performance.now() < until) {
-      const entry = entryOf(board, successor);
+      const entry = currentEntryOf(board, successor);
       if (entry === undefined) return false;
       const result = await probe.ask(entry, this.group, STATUS_TIMEOUT_MS);
       if (result.kind === 'status' && result.status.isPrimary) {
--- a/packages/gateway/src/control/promotion/successor-search.ts
+++ b/packages/gateway/src/control/promotion/successor-search.ts
@@ -54,7 +54,7 @@
   ) {}
 
   /** Whether a planned change would find a successor that can have received everything in time. */
-  async isReady(former: PrimaryRecord): Promise<boolean> {
+  async hasReadySuccessor(former: PrimaryRecord): Promise<boolean> {
     const reports = await this.reports(former);
     const { chosen, held } = this.compare(former, reports, this.syncReplicasOf(former));
     if (chosen === undefined || held === undefined) return false;
--- a/packages/gateway/src/control/promotion/upstream-standing.ts
+++ b/packages/gateway/src/control/promotion/upstream-lookup.ts
@@ -7,7 +7,7 @@
 import type { UpstreamEntry } from '../../model/catalog.js';
 
 /** The entry of an upstream; undefined when it has none, or tells of another one that started since. */
-export function entryOf(
+export function currentEntryOf(
   board: GatewayBoard,
   upstream: UpstreamIdentity,
 ): UpstreamEntry | undefined {
@@ -16,7 +16,7 @@
 }
 
 /** Whether an upstream lies in a zone that is evacuated now. */
-export function isEvacuated(board: GatewayBoard, upstream: UpstreamId): boolean {
+export function isInEvacuatedZone(board: GatewayBoard, upstream: UpstreamId): boolean {
   const entry = board.upstreams.get(upstream);
   return entry !== undefined && board.evacuations.has(entry.az);
 }
--- a/packages/gateway/src/control/proofs/passable-proof.ts
+++ b/packages/gateway/src/control/proofs/forwardable-proof.ts
@@ -4,7 +4,7 @@
 import type { HostId, StorePosition } from '@gladespool/coordination';
 
 /** A proof that the records of primaries held are those of the store. */
-export interface PassableProof {
+export interface ForwardableProof {
   /** Local time at which the read of the store, or the round of questions, was sent. */
   readonly sentAt: number;
   /** Position of the store up to which the gateway's own documents have to be held for it to count. */
--- a/packages/gateway/src/control/proofs/peer-renewer.ts
+++ b/packages/gateway/src/control/proofs/peer-proof-renewer.ts
@@ -10,19 +10,19 @@
 import type { Frame } from '@gladespool/protocol';
 import { FrameKind } from '@gladespool/protocol';
 import type { GatewayBoard, HostEntry } from '../../knowledge/board.js';
-import type { HostRound, RoundAnswer } from '../hosts/host-round.js';
-import type { HostList } from './passable-proof.js';
-import type { ProofKeeper } from './proof-keeper.js';
+import type { HostRound, RoundReply } from '../hosts/host-round.js';
+import type { HostList } from './forwardable-proof.js';
+import type { ProofRenewer } from './proof-renewer.js';
 import type { RelayOrder } from '../../knowledge/relay-order.js';
 import type { StoreView } from '../store/store-view.js';
 
 /** What the renewer works on. */
-export interface PeerRenewerOptions {
+export interface PeerProofRenewerOptions {
   readonly self: HostEntry;
   readonly board: GatewayBoard;
   readonly view: StoreView;
   readonly order: RelayOrder;
-  readonly proofs: ProofKeeper;
+  readonly proofs: ProofRenewer;
   readonly round: HostRound;
   readonly loop: Pick<EventLoopMonitor, 'pausedMsSince'>;
   readonly authority: AuthorityRules;
@@ -33,7 +33,7 @@
 const TIMEOUT_MS = 200;
 
 /** Renewals of one host. */
-export class PeerRenewer implements PeerHandler {
+export class PeerProofRenewer implements PeerHandler {
   /** Whether a round is under way. */
   private asking = false;
   private lastAskAt = Number.NEGATIVE_INFINITY;
@@ -42,7 +42,7 @@
   /** Whether the latest round counted and the store has not renewed the proof since. */
   private renewing = false;
 
-  constructor(private readonly options: PeerRenewerOptions) {}
+  constructor(private readonly options: PeerProofRenewerOptions) {}
 
   /** Starts a round if one is due at `now`. */
   tick(now: number): void {
@@ -76,13 +76,13 @@
 
   private async renew(sentAt: number): Promise<void> {
     const { proofs, self, round } = this.options;
-    const list = proofs.newestList;
+    const list = proofs.latestHostList;
     if (list?.hosts.get(self.host) !== self.incarnation) return;
     this.asking = true;
     const { host, incarnation } = self;
     const question = { kind: FrameKind.RenewRequest, id: 0, host, incarnation } as const;
     let answered = 1;
-    await round.askAll(question, TIMEOUT_MS, (answer) => {
+    await round.requestAll(question, TIMEOUT_MS, (answer) => {
       if (this.takeSupport(answer, list)) answered += 1;
     });
     this.asking = false;
@@ -90,11 +90,11 @@
     const counts = isRenewalValid(renewal, performance.now(), this.options.authority);
     this.noteRound(counts, answered, list.listed);
     this.failed = counts ? 0 : this.failed + 1;
-    if (counts) proofs.noteRenewal(sentAt, list);
+    if (counts) proofs.acceptPeerRenewal(sentAt, list);
   }
 
   /** Whether a host answered as the very process that is listed; what it knows is taken over. */
-  private takeSupport({ host, incarnation, items }: RoundAnswer, list: HostList): boolean {
+  private takeSupport({ host, incarnation, items }: RoundReply, list: HostList): boolean {
     if (list.hosts.get(host) !== incarnation) return false;
     this.options.view.applyItems(items, performance.now());
     return true;
--- a/packages/gateway/src/control/proofs/proof-trail.ts
+++ b/packages/gateway/src/control/proofs/proof-diagnostics.ts
@@ -4,7 +4,7 @@
 import type { LogFields } from '@gladespool/observability';
 
 /** What became of the proof in an answer. */
-export enum ProofEnd {
+export enum ProofOutcome {
   Taken = 'taken',
   /** The answer held none. */
   None = 'none',
@@ -13,26 +13,26 @@
 }
 
 /** The latest question of one host and the latest answer. */
-export class ProofTrail {
+export class ProofDiagnostics {
   private askedAt: number | undefined;
   private answeredAt: number | undefined;
-  private end: ProofEnd | undefined;
+  private end: ProofOutcome | undefined;
   private ageMs: number | undefined;
 
   /** Notes that the host's parent was asked at `now`. */
-  noteAsked(now: number): void {
+  noteRequest(now: number): void {
     this.askedAt = now;
   }
 
   /** Notes an answer at `now`, with the age of its proof as it arrived, milliseconds. */
-  noteAnswer(now: number, end: ProofEnd, ageMs?: number): void {
+  noteReply(now: number, end: ProofOutcome, ageMs?: number): void {
     this.answeredAt = now;
     this.end = end;
     this.ageMs = ageMs;
   }
 
   /** What is known at `now`. */
-  fields(now: number): LogFields {
+  logFields(now: number): LogFields {
     return {
       asked_ms_ago: rounded(this.askedAt, now),
       answered_ms_ago: rounded(this.answeredAt, now),
--- a/packages/gateway/src/control/proofs/proof-keeper.ts
+++ b/packages/gateway/src/control/proofs/proof-renewer.ts
@@ -10,7 +10,7 @@
 import type { GatewayBoard, HostEntry } from '../../knowledge/board.js';
 import type { MetadataStore, StoreEntry } from '../store/metadata-store.js';
 import { StorePurpose } from '../store/metadata-store.js';
-import type { HostList, PassableProof } from './passable-proof.js';
+import type { HostList, ForwardableProof } from './forwardable-proof.js';
 import type { HostRegistrar } from '../store/registrar.js';
 import type { StoreFollower } from '../store/store-follower.js';
 import { hostKey, OWN_PREFIX, readOwnDocument } from '../store/store-documents.js';
@@ -27,13 +27,13 @@
 }
 
 /** Times in force, for proofs that live 1 s. 60 ms: the watch answers within a few round trips of the store. */
-export const DEFAULT_PROOFS: ProofRules = { intervalMs: 300, timeoutMs: 700, watchLagMs: 60 };
+export const DEFAULT_PROOF_RULES: ProofRules = { intervalMs: 300, timeoutMs: 700, watchLagMs: 60 };
 
 /** Part of a tick by which a read may begin early, milliseconds; one that misses its tick waits for a whole one more. */
 const TICK_SLACK_MS = 5;
 
 /** What the keeper works on. */
-export interface ProofKeeperOptions {
+export interface ProofRenewerOptions {
   readonly self: HostEntry;
   readonly board: GatewayBoard;
   readonly store: MetadataStore;
@@ -45,9 +45,9 @@
 }
 
 /** Reads this host's entry at intervals while that is wanted. */
-export class ProofKeeper {
+export class ProofRenewer {
   /** Newest proof that may be passed on; undefined before the first. */
-  passable: PassableProof | undefined;
+  forwardable: ForwardableProof | undefined;
   /** Whether the latest read got no answer. */
   failing = false;
   /** Local time at which the hosts on the board surely were the listed ones; -Infinity before. */
@@ -55,7 +55,7 @@
   private reading = false;
   private lastSentAt = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly options: ProofKeeperOptions) {}
+  constructor(private readonly options: ProofRenewerOptions) {}
 
   /**
    * Starts a read if one is due at `now`, reads being `pace` times farther apart than usual.
@@ -83,12 +83,12 @@
   }
 
   /** Time since this host's latest read began, milliseconds; undefined before the first. */
-  readMsAgo(now: number): number | undefined {
+  msSinceRead(now: number): number | undefined {
     return Number.isFinite(this.lastSentAt) ? Math.round(now - this.lastSentAt) : undefined;
   }
 
   /** The newest list of hosts that this host knows; undefined before the first. */
-  get newestList(): HostList | undefined {
+  get latestHostList(): HostList | undefined {
     if (!Number.isFinite(this.listedAt)) return undefined;
     const { board, view } = this.options;
     const entries = [...board.hosts.values()];
@@ -98,31 +98,31 @@
   }
 
   /** Notes that a majority of `list` renewed the proof, by a round that began at `sentAt`. */
-  noteRenewal(sentAt: number, { position }: HostList): void {
-    this.takeProof({ sentAt, position, isFromStore: false });
+  acceptPeerRenewal(sentAt: number, { position }: HostList): void {
+    this.acceptProof({ sentAt, position, isFromStore: false });
   }
 
   /** Takes a proof, be it passed on; this host's own documents are complete up to its position. */
-  takeProof(proof: PassableProof): void {
+  acceptProof(proof: ForwardableProof): void {
     const { board, self, view } = this.options;
     const { sentAt, isFromStore } = proof;
     // A store that came back from a copy may name a primary that another one has followed.
     if (isFromStore && !view.isEraSettled) return;
     if (isFromStore) this.listedAt = Math.max(this.listedAt, sentAt);
-    if (sentAt > (this.passable?.sentAt ?? Number.NEGATIVE_INFINITY)) this.passable = proof;
+    if (sentAt > (this.forwardable?.sentAt ?? Number.NEGATIVE_INFINITY)) this.forwardable = proof;
     if (this.covers(proof, self.host, self.incarnation)) board.recordProof(sentAt);
   }
 
   /** The newest proof that a process may hold; undefined if it was not listed then. */
-  passableTo(host: string, incarnation: number): PassableProof | undefined {
-    const { passable } = this;
+  forwardableTo(host: string, incarnation: number): ForwardableProof | undefined {
+    const { forwardable: passable } = this;
     return passable !== undefined && this.covers(passable, host, incarnation)
       ? passable
       : undefined;
   }
 
   /** A proof covers only hosts that were listed then: whoever changes a primary asks just those. */
-  private covers({ position }: PassableProof, host: string, incarnation: number): boolean {
+  private covers({ position }: ForwardableProof, host: string, incarnation: number): boolean {
     return this.options.view.wasListed(host, incarnation, position);
   }
 
@@ -156,7 +156,7 @@
     if (isLater(position, view.ownPosition)) return this.readDocuments();
     // Questions that wait are answered as the proof is taken, and their answers tell how old the documents are.
     if (!isLater(position, view.position)) view.markCurrent(sentAt);
-    this.takeProof({ sentAt, position, isFromStore: true });
+    this.acceptProof({ sentAt, position, isFromStore: true });
     this.checkWatch(position);
     return true;
   }
@@ -169,7 +169,7 @@
     if (range.isErr()) return this.noteFailure(range.error);
     const { position } = range.value;
     view.replace(OWN_PREFIX, range.value, performance.now());
-    this.takeProof({ sentAt, position, isFromStore: true });
+    this.acceptProof({ sentAt, position, isFromStore: true });
     this.checkWatch(position);
     return true;
   }
@@ -199,7 +199,7 @@
     view.applyItems([item], performance.now());
     if (!isAllHeld) return;
     view.markOwnComplete(position);
-    this.takeProof({ sentAt, position, isFromStore: true });
+    this.acceptProof({ sentAt, position, isFromStore: true });
   }
 
   /** A watch that has not brought a change within an interval has lost it; without one all is read. */
--- a/packages/gateway/src/control/proofs/sync-answers.ts
+++ b/packages/gateway/src/control/proofs/sync-responder.ts
@@ -9,7 +9,7 @@
 import { FrameKind } from '@gladespool/protocol';
 import type { GatewayBoard } from '../../knowledge/board.js';
 import { BoardSection } from '../../knowledge/board.js';
-import type { ProofKeeper } from './proof-keeper.js';
+import type { ProofRenewer } from './proof-renewer.js';
 import type { StoreView } from '../store/store-view.js';
 
 type SyncAsk = FrameOf<FrameKind.SyncRequest>;
@@ -22,10 +22,10 @@
 const MISSED_PROOF_MS = 100;
 
 /** What the answers are made of. */
-export interface SyncAnswersOptions {
+export interface SyncResponderOptions {
   readonly board: GatewayBoard;
   readonly view: StoreView;
-  readonly proofs: Pick<ProofKeeper, 'passableTo'>;
+  readonly proofs: Pick<ProofRenewer, 'forwardableTo'>;
 }
 
 /** A question that waits. */
@@ -36,10 +36,10 @@
 }
 
 /** Answering side of one host. */
-export class SyncAnswers implements PeerHandler {
+export class SyncResponder implements PeerHandler {
   private held: HeldAsk[] = [];
 
-  constructor(private readonly options: SyncAnswersOptions) {
+  constructor(private readonly options: SyncResponderOptions) {
     const { board, view } = options;
     board.onChange(BoardSection.Proof, () => {
       this.answerWhere(() => true);
@@ -71,7 +71,7 @@
 
   /** Whether the asker has missed the proof that this host holds already. */
   private hasNewerProof({ ask, arrivedAt }: HeldAsk): boolean {
-    const proof = this.options.proofs.passableTo(ask.host, ask.incarnation);
+    const proof = this.options.proofs.forwardableTo(ask.host, ask.incarnation);
     if (proof === undefined) return false;
     if (ask.proofAgeMs === undefined) return true;
     return proof.sentAt > arrivedAt - ask.proofAgeMs + MISSED_PROOF_MS;
@@ -108,7 +108,7 @@
 
   /** The proof that may be passed on to the asker; undefined if it was not listed then. */
   private proofFor(ask: SyncAsk, arrivedAt: number): SyncReply['proof'] {
-    const proof = this.options.proofs.passableTo(ask.host, ask.incarnation);
+    const proof = this.options.proofs.forwardableTo(ask.host, ask.incarnation);
     if (proof === undefined) return undefined;
     const { sentAt, position, isFromStore } = proof;
     return { ageMs: arrivedAt - sentAt, position, isFromStore };
--- a/packages/gateway/src/control/proofs/sync-service.ts
+++ b/packages/gateway/src/control/proofs/sync-service.ts
@@ -14,8 +14,8 @@
 import { BoardSection } from '../../knowledge/board.js';
 import type { DocumentExchange } from '../store/document-exchange.js';
 import type { PeerCalls } from '../../peering/peer-calls.js';
-import type { ProofKeeper } from './proof-keeper.js';
-import { ProofEnd, ProofTrail } from './proof-trail.js';
+import type { ProofRenewer } from './proof-renewer.js';
+import { ProofOutcome, ProofDiagnostics } from './proof-diagnostics.js';
 import type { RelayOrder } from '../../knowledge/relay-order.js';
 import type { StoreFollower } from '../store/store-follower.js';
 import type { StoreView } from '../store/store-view.js';
@@ -35,7 +35,7 @@
   /** Added for each place in a zone's order before a host reads the store itself, milliseconds. */
   readonly rankStepMs: number;
   /** Time for which a host that had to read the store goes on doing so, milliseconds. */
-  readonly standInMs: number;
+  readonly fallbackReadMs: number;
 }
 
 /**
@@ -44,13 +44,13 @@
  * a proof's life is left then. Hosts that read the store themselves do so one after the other, since
  * every call is paid for. 3 s: a host that was killed is back by then.
  */
-export const DEFAULT_SYNC: SyncRules = {
+export const DEFAULT_SYNC_RULES: SyncRules = {
   waitMs: 400,
   intervalMs: 180,
   timeoutMs: 250,
   staleMs: 500,
   rankStepMs: 50,
-  standInMs: 3000,
+  fallbackReadMs: 3000,
 };
 
 /** Hosts after the first that go on reading the store once they had to; later ones read it now and then. */
@@ -67,7 +67,7 @@
   readonly self: HostEntry;
   readonly board: GatewayBoard;
   readonly view: StoreView;
-  readonly proofs: ProofKeeper;
+  readonly proofs: ProofRenewer;
   readonly follower: StoreFollower;
   readonly order: RelayOrder;
   readonly documents: DocumentExchange;
@@ -98,7 +98,7 @@
   /** Local time before which no other host is asked for its configuration. */
   private fetchNotBefore = Number.NEGATIVE_INFINITY;
   private readonly startedAt = performance.now();
-  private readonly trail = new ProofTrail();
+  private readonly trail = new ProofDiagnostics();
   /** Whether the proof was late when it was last looked at. */
   private wasLate = false;
 
@@ -118,7 +118,7 @@
   }
 
   /** Reads the store itself and asks further hosts if news are late at `now`. */
-  seekHelp(now: number): void {
+  syncFromFallbacks(now: number): void {
     const { proofs, rules } = this.options;
     const { isReader } = this;
     this.noteLateness(now);
@@ -202,9 +202,9 @@
     log.info('proof-late', {
       proof_age_ms: Math.round(now - board.latestProofAt),
       documents_age_ms: Math.round(now - view.lastCurrentAt),
-      read_ms_ago: proofs.readMsAgo(now),
+      read_ms_ago: proofs.msSinceRead(now),
       parent: this.options.order.parent?.host,
-      ...this.trail.fields(now),
+      ...this.trail.logFields(now),
     });
   }
 
@@ -229,7 +229,7 @@
     const { order, proofs, rules } = this.options;
     const { rank } = order;
     const isLate = this.latenessAt(now) > rules.staleMs + rank * rules.rankStepMs;
-    if (isLate && rank <= STAND_INS) this.standInUntil = now + rules.standInMs;
+    if (isLate && rank <= STAND_INS) this.standInUntil = now + rules.fallbackReadMs;
     if (isLate || now < this.standInUntil) proofs.tick(now, Math.max(1, rank - STAND_INS));
   }
 
@@ -288,7 +288,7 @@
     const sentAt = performance.now();
     const { host, incarnation } = self;
     const { latestProofAt: provenSince } = board;
-    if (waitMs > 0) this.trail.noteAsked(sentAt);
+    if (waitMs > 0) this.trail.noteRequest(sentAt);
     const question = {
       host,
       incarnation,
@@ -324,7 +324,7 @@
     const isComplete = !isLater(reply.position, view.position);
     if (isComplete && documentsAgeMs !== undefined) view.markCurrent(sentAt - documentsAgeMs);
     // Questions that wait here are answered as the proof is taken, and their answers tell how old the documents are.
-    if (proof === undefined) this.trail.noteAnswer(performance.now(), ProofEnd.None);
+    if (proof === undefined) this.trail.noteReply(performance.now(), ProofOutcome.None);
     else this.takeProof(proof, sentAt);
   }
 
@@ -336,11 +336,11 @@
     const sentAt = askedAt - ageMs;
     const now = performance.now();
     if (isLater(position, view.ownPosition)) {
-      this.trail.noteAnswer(now, ProofEnd.AheadOfDocuments, now - sentAt);
+      this.trail.noteReply(now, ProofOutcome.AheadOfDocuments, now - sentAt);
       return;
     }
-    this.trail.noteAnswer(now, ProofEnd.Taken, now - sentAt);
-    proofs.takeProof({ sentAt, position, isFromStore });
+    this.trail.noteReply(now, ProofOutcome.Taken, now - sentAt);
+    proofs.acceptProof({ sentAt, position, isFromStore });
   }
 }
 
--- a/packages/gateway/src/control/store/era-opener.ts
+++ b/packages/gateway/src/control/store/era-opener.ts
@@ -99,7 +99,7 @@
     const { host, incarnation } = self;
     let answered = formerHosts.get(host) === incarnation ? 1 : 0;
     const question = { kind: FrameKind.RenewRequest, id: 0, host, incarnation } as const;
-    await round.askAll(question, ASK_TIMEOUT_MS, (answer) => {
+    await round.requestAll(question, ASK_TIMEOUT_MS, (answer) => {
       view.applyItems(answer.items, performance.now());
       if (formerHosts.get(answer.host) === answer.incarnation) answered += 1;
     });
--- a/packages/gateway/src/gateway-host.ts
+++ b/packages/gateway/src/gateway-host.ts
@@ -11,7 +11,7 @@
 import { BoardSection, GatewayBoard } from './knowledge/board.js';
 import { ControlPlane } from './control/control-plane.js';
 import type { MetadataStore } from './control/store/metadata-store.js';
-import type { PromotionPort } from './control/promotion/promotion-call.js';
+import type { PromotionPort } from './control/promotion/promotion-port.js';
 import type { ForeignDocumentReader } from './control/store/foreign-documents.js';
 import { WriteHolds } from './knowledge/write-holds.js';
 import type { CallerCodec } from './entry/caller-codec.js';
--- a/packages/gateway/tests/acting-hosts.steps.ts
+++ b/packages/gateway/tests/acting-hosts.steps.ts
@@ -13,7 +13,7 @@
 } from '@gladespool/coordination';
 import type { HostEntry, UpstreamEntry } from '../src/index.js';
 import { GatewayBoard, ReportedRole } from '../src/index.js';
-import { ActingHosts } from '../src/control/promotion/acting-hosts.js';
+import { FailoverOrder } from '../src/control/promotion/failover-order.js';
 
 interface ActingWorld {
   topology: Topology;
@@ -22,7 +22,7 @@
   duty: SeenPromotionLease | undefined;
   /** The board and the order of one host, which lives on while things change. */
   board: GatewayBoard;
-  acting: ActingHosts;
+  acting: FailoverOrder;
 }
 
 const GROUP = groupId('g');
@@ -46,13 +46,13 @@
   return board;
 }
 
-function actingOn(world: ActingWorld, board: GatewayBoard): ActingHosts {
+function actingOn(world: ActingWorld, board: GatewayBoard): FailoverOrder {
   const view = {
     get seenDuty(): SeenPromotionLease | undefined {
       return world.duty;
     },
   };
-  return new ActingHosts({ board, view, rules: DEFAULT_FAILOVER });
+  return new FailoverOrder({ board, view, rules: DEFAULT_FAILOVER });
 }
 
 Given(
@@ -71,7 +71,7 @@
     this.board = boardOf(this, self);
     this.acting = actingOn(this, this.board);
     // What is asked for once must not be kept for ever.
-    this.acting.order(GROUP, NOW);
+    this.acting.hostsFor(GROUP, NOW);
   },
 );
 
@@ -99,7 +99,7 @@
 Then(
   'the first {int} to act are of regions {string}',
   function (this: ActingWorld, count: number, regions: string) {
-    const first = this.acting.order(GROUP, NOW).slice(0, count);
+    const first = this.acting.hostsFor(GROUP, NOW).slice(0, count);
     const expected = regions.split(',');
     for (const [index, host] of first.entries()) {
       const az = this.board.hosts.get(host)?.az;
@@ -113,14 +113,14 @@
   const [self] = this.entries;
   assert.ok(self);
   const untold = actingOn(this, boardOf(this, self, SINGLE_REGION));
-  assert.deepEqual(this.acting.order(GROUP, NOW), untold.order(GROUP, NOW));
+  assert.deepEqual(this.acting.hostsFor(GROUP, NOW), untold.hostsFor(GROUP, NOW));
 });
 
 Then('each host has another place, and all of them know the order', function (this: ActingWorld) {
-  const order = this.acting.order(GROUP, NOW);
+  const order = this.acting.hostsFor(GROUP, NOW);
   const places = this.entries.map((entry): [HostId, number] => {
     const acting = actingOn(this, boardOf(this, entry));
-    return [entry.host, acting.places(NOW)(GROUP)];
+    return [entry.host, acting.ownRanks(NOW)(GROUP)];
   });
   assert.deepEqual(
     new Map(places),
--- a/packages/gateway/tests/fakes/fake-deployment.ts
+++ b/packages/gateway/tests/fakes/fake-deployment.ts
@@ -34,7 +34,7 @@
   UpstreamEntry,
 } from '../../src/index.js';
 import {
-  DEFAULT_SYNC,
+  DEFAULT_SYNC_RULES,
   GatewayHost,
   UNRELATED_KEY,
   ReportedRole,
@@ -62,7 +62,7 @@
 const LOOPBACK = '127.0.0.1';
 const POLL_MS = 5;
 const RULES: GatewayRules = {
-  sync: DEFAULT_SYNC,
+  sync: DEFAULT_SYNC_RULES,
   failover: DEFAULT_FAILOVER,
   retirement: { pingMs: 100, silentMs: 800 },
   lapse: { leavingAfterMs: 1500, goneAfterMs: 60_000 },
--- a/packages/gateway/tests/fakes/fake-group.ts
+++ b/packages/gateway/tests/fakes/fake-group.ts
@@ -23,7 +23,7 @@
   UpstreamStatus,
   DriverConnection,
 } from '../../src/index.js';
-import { PromotionAnswer, ConnectionLoss } from '../../src/index.js';
+import { PromotionResult, ConnectionLoss } from '../../src/index.js';
 
 /** One upstream. */
 export class FakeUpstream {
@@ -69,15 +69,15 @@
     readonly at: number;
   }[] = [];
 
-  promote(req: PromotionRequest): Promise<Result<PromotionAnswer, GladespoolError>> {
+  promote(req: PromotionRequest): Promise<Result<PromotionResult, GladespoolError>> {
     this.onCall(req);
     const chosen = this.upstreams.get(req.upstream);
-    if (chosen === undefined || chosen.dead) return Promise.resolve(ok(PromotionAnswer.Refused));
+    if (chosen === undefined || chosen.dead) return Promise.resolve(ok(PromotionResult.Refused));
     this.promotions.push({ req, at: performance.now() });
     this.onPromotion(req);
     chosen.term = Math.max(...[...this.upstreams.values()].map(({ term }) => term)) + 1;
     chosen.isPrimary = true;
-    return Promise.resolve(ok(PromotionAnswer.Done));
+    return Promise.resolve(ok(PromotionResult.Done));
   }
 
   commit(primary: FakeUpstream): void {
--- a/packages/gateway/tests/first-proof.steps.ts
+++ b/packages/gateway/tests/first-proof.steps.ts
@@ -11,7 +11,7 @@
 } from '@gladespool/coordination';
 import { createLogger, HostMetrics } from '@gladespool/observability';
 import { GatewayBoard } from '../src/knowledge/board.js';
-import { DEFAULT_PROOFS, ProofKeeper } from '../src/control/proofs/proof-keeper.js';
+import { DEFAULT_PROOF_RULES, ProofRenewer } from '../src/control/proofs/proof-renewer.js';
 import { HostRegistrar } from '../src/control/store/registrar.js';
 import { DEFAULT_FOLLOWER, StoreFollower } from '../src/control/store/store-follower.js';
 import { hostKey } from '../src/control/store/store-documents.js';
@@ -23,7 +23,7 @@
   store: FakeStore;
   board: GatewayBoard;
   client: FakeStoreClient;
-  keeper: ProofKeeper;
+  keeper: ProofRenewer;
   registrar: HostRegistrar;
   follower: StoreFollower;
   provenBefore: number;
@@ -65,12 +65,12 @@
   });
   const follower = new StoreFollower({ store, view, metrics, log, rules: DEFAULT_FOLLOWER });
   const registrar = new HostRegistrar(self, board, store, log);
-  const rules = DEFAULT_PROOFS;
+  const rules = DEFAULT_PROOF_RULES;
   world.board = board;
   world.client = store;
   world.registrar = registrar;
   world.follower = follower;
-  world.keeper = new ProofKeeper({ self, board, store, view, follower, registrar, rules, log });
+  world.keeper = new ProofRenewer({ self, board, store, view, follower, registrar, rules, log });
 }
 
 Given('a store that lists no host', function (this: ProofWorld) {
--- a/packages/gateway/tests/host-round.steps.ts
+++ b/packages/gateway/tests/host-round.steps.ts
@@ -17,7 +17,7 @@
 import { err, ok } from 'neverthrow';
 import type { HostEntry } from '../src/index.js';
 import { GatewayBoard, RelayOrder } from '../src/index.js';
-import type { HostRoundOptions, RoundAnswer } from '../src/control/hosts/host-round.js';
+import type { HostRoundOptions, RoundReply } from '../src/control/hosts/host-round.js';
 import { HostRound } from '../src/control/hosts/host-round.js';
 
 interface RoundWorld {
@@ -30,7 +30,7 @@
   sent: number;
   /** Hosts to which the asking host has sent. */
   sentTo: Set<HostId>;
-  answers: RoundAnswer[];
+  answers: RoundReply[];
   told: HostId[];
 }
 
@@ -148,7 +148,7 @@
     epoch: 1,
     holdMs: 1,
   } as const;
-  const answered = await this.rounds.get(ASKER)?.askAll(question, TIMEOUT_MS, (answer) => {
+  const answered = await this.rounds.get(ASKER)?.requestAll(question, TIMEOUT_MS, (answer) => {
     this.answers.push(answer);
   });
   assert.equal(answered?.size, this.answers.length);
@@ -178,7 +178,7 @@
 );
 
 When('host 0 tells the others of a changed record', function (this: RoundWorld) {
-  this.rounds.get(ASKER)?.tellAll({ kind: FrameKind.StoreUpdate, items: [] });
+  this.rounds.get(ASKER)?.notifyAll({ kind: FrameKind.StoreUpdate, items: [] });
 });
 
 Then(
--- a/packages/gateway/tests/news-passed-on.steps.ts
+++ b/packages/gateway/tests/news-passed-on.steps.ts
@@ -8,7 +8,7 @@
 import type { FrameOf } from '@gladespool/protocol';
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
-import { BoardSection, DEFAULT_SYNC, GatewayBoard, RelayOrder } from '../src/index.js';
+import { BoardSection, DEFAULT_SYNC_RULES, GatewayBoard, RelayOrder } from '../src/index.js';
 import type { HostEntry } from '../src/index.js';
 import type { SyncServiceOptions } from '../src/control/proofs/sync-service.js';
 import { SyncService } from '../src/control/proofs/sync-service.js';
@@ -108,7 +108,7 @@
     },
     loop: { pausedMsSince: () => 0 },
     seeds: [],
-    rules: { ...DEFAULT_SYNC, waitMs: WAIT_MS },
+    rules: { ...DEFAULT_SYNC_RULES, waitMs: WAIT_MS },
     log: createLogger('test'),
   };
   world.sync = new SyncService(options as unknown as SyncServiceOptions);
--- a/packages/gateway/tests/sync-answers.steps.ts
+++ b/packages/gateway/tests/sync-answers.steps.ts
@@ -6,18 +6,18 @@
 import type { Frame, FrameOf } from '@gladespool/protocol';
 import { FrameKind } from '@gladespool/protocol';
 import { GatewayBoard } from '../src/knowledge/board.js';
-import type { PassableProof } from '../src/control/proofs/passable-proof.js';
+import type { ForwardableProof } from '../src/control/proofs/forwardable-proof.js';
 import { hostKey, primaryKey } from '../src/control/store/store-documents.js';
 import { StoreView } from '../src/control/store/store-view.js';
-import { SyncAnswers } from '../src/control/proofs/sync-answers.js';
+import { SyncResponder } from '../src/control/proofs/sync-responder.js';
 import { fakeReader } from './fakes/fake-documents.js';
 import { at } from './fakes/store-positions.js';
 
 interface AnswersWorld {
   board: GatewayBoard;
   view: StoreView;
-  answers: SyncAnswers;
-  proof: PassableProof;
+  answers: SyncResponder;
+  proof: ForwardableProof;
   link: PeerLink;
   sent: FrameOf<FrameKind.SyncReply>[];
   /** Local time at which the question arrived. */
@@ -53,12 +53,12 @@
   world.view.replace('', { items, position: at(world.revision) }, 0);
   const sentAt = world.askedAt - PROVED_MS_BEFORE;
   world.proof = { sentAt, position: at(10), isFromStore: true };
-  const passableTo = (host: string, incarnation: number): PassableProof | undefined =>
+  const passableTo = (host: string, incarnation: number): ForwardableProof | undefined =>
     world.view.wasListed(host, incarnation, world.proof.position) ? world.proof : undefined;
-  world.answers = new SyncAnswers({
+  world.answers = new SyncResponder({
     board: world.board,
     view: world.view,
-    proofs: { passableTo },
+    proofs: { forwardableTo: passableTo },
   });
   world.sent = [];
   const send = (frame: Frame): boolean => {
