--- a/packages/coordination/src/authority/acknowledgement.ts
+++ b/packages/coordination/src/authority/acknowledgement.ts
@@ -1,9 +1,9 @@
 /**
  * Decides when a commit may be confirmed to its caller.
  *
- * Replication is asynchronous: a commit on the primary can be lost by a promotion. It is safe
- * once it lies in the logs of a majority under one term, because a promotion fences a majority
- * and chooses the highest log among it, and two majorities share a member.
+ * Replication is asynchronous, so a promotion can lose a commit that only the primary holds. A
+ * commit is safe once it is in the logs of a majority under one term: a promotion fences a majority
+ * and promotes the highest log among it, and any two majorities share a member.
  */
 import type { GroupRecord } from '../model/group.js';
 import { majorityOf } from '../model/group.js';
@@ -12,39 +12,40 @@
 import { discardingTerm, isDiscarded } from '../reads/position.js';
 import type { UpstreamReport } from '../model/upstream-report.js';
 
-/** Decision on a commit that waits to be confirmed. */
+/** Decision on a commit that awaits confirmation. */
 export enum AckDecision {
-  /** The commit can't be lost: confirm it. */
+  /** The commit can no longer be lost and may be confirmed. */
   Confirmed = 'confirmed',
-  /** More evidence is needed. */
+  /** The reports do not yet prove that the commit is safe. */
   Waiting = 'waiting',
-  /** A promotion discarded the commit for good: it will never be confirmed. */
+  /** A promotion discarded the commit permanently; it will never be confirmed. */
   Superseded = 'superseded',
 }
 
-/** What the decision rests on. */
+/** Input of the decision. */
 export interface AckInput {
   /** Position of the commit. */
   readonly position: Position;
-  /** Record of the group as last known. */
+  /** Latest known record of the group. */
   readonly record: GroupRecord;
   /** Upstreams of the group, whether reachable or not. */
   readonly members: readonly UpstreamId[];
-  /** Latest reports, each taken after the commit was made. */
+  /** Latest reports, each requested after the commit was made. */
   readonly reports: readonly UpstreamReport[];
 }
 
-/** A rule that decides when commits are confirmed. */
+/** Rule that decides when commits are confirmed. */
 export interface AcknowledgementRule {
   decide(input: AckInput): AckDecision;
 }
 
 /**
- * Confirms a commit that a majority holds under one term, none of them fenced past it.
+ * Confirms a commit that a majority holds under one term, where no member of that majority is
+ * fenced at a later term.
  *
- * The one term may be the commit's own or a later one whose lineage contains the commit; holders
- * under different terms are never added up, because a promotion may still discard such a commit, and
- * a term that is claimed but not part of the lineage proves nothing: its log may lack the commit.
+ * That term may be the commit's own or a later one whose lineage contains the commit. Holders under
+ * different terms are never added up, because a promotion may still discard such a commit. A term
+ * that is claimed but not part of the lineage proves nothing: its log may lack the commit.
  */
 export class MajorityRule implements AcknowledgementRule {
   decide(input: AckInput): AckDecision {
@@ -60,9 +61,9 @@
 }
 
 /**
- * Whether the term that discarded the commit can't be discarded itself: a majority holds one term
- * of the lineage at or past it. Before that, a promotion that misses the new primary could still
- * choose a log that contains the commit.
+ * Whether the term that discarded the commit can no longer be discarded itself, because a majority
+ * holds one term of the lineage at or after it. Until then, a promotion that does not reach the new
+ * primary could still choose a log that contains the commit.
  */
 function isFinallyDiscarded(input: AckInput): boolean {
   const { position, record, members, reports } = input;
@@ -78,7 +79,7 @@
     });
 }
 
-/** Confirms every commit of the primary at once. Unsafe; exists as the baseline of measurements. */
+/** Confirms every commit of the primary immediately. Unsafe; serves as the baseline of measurements. */
 export class PrimaryCommitRule implements AcknowledgementRule {
   decide(): AckDecision {
     return AckDecision.Confirmed;
@@ -86,9 +87,9 @@
 }
 
 /**
- * Highest offset of `term` that a majority holds: positions at or below it are confirmed.
+ * Highest offset of `term` that a majority holds. Positions at or below it are confirmed.
  *
- * @returns the offset, or 0 when no majority reports the term.
+ * @returns the offset, or 0 if no majority reports the term
  */
 export function majorityOffset(
   members: readonly UpstreamId[],
--- a/packages/coordination/src/authority/authority.ts
+++ b/packages/coordination/src/authority/authority.ts
@@ -1,12 +1,14 @@
 /**
- * Authority: whether a host may use the primary that it believes in. A host holds a proof, the time
- * at which it (or the peer that passed the proof on) *sent* the read of the store that returned the
- * record. Whoever changes the primary claims the record first, then waits until every host has
- * given the former primary up, by message or because its proof has run out.
+ * Authority: whether a host may use the primary named in the record that it holds. Each host holds
+ * a proof: the time at which it, or the peer that passed the proof on, *sent* the read of the store
+ * that returned the record. A host that changes the primary first claims the record, then waits
+ * until every host has released the former primary, either by acknowledging the claim or because
+ * its proof has expired.
  *
- * While the store is away a proof may also be renewed by other hosts: more than half of those listed
- * say that they have acknowledged no claim. Whoever changes a primary needs the acknowledgement of
- * more than half as well, so one host at least answers both, and it answers the renewal first.
+ * While the store is unavailable, other hosts can renew a proof: more than half of the listed hosts
+ * have to state that they have acknowledged no claim. A change of primary needs acknowledgements
+ * from more than half as well, so at least one host answers both requests, and it answers the
+ * renewal before it acknowledges the claim.
  */
 import type { StartTime } from '../membership/upstream-identity.js';
 import { mayBeSameStartTime } from '../membership/upstream-identity.js';
@@ -14,22 +16,27 @@
 import type { PrimaryRecord } from './primary-record.js';
 import { RecordPhase } from './primary-record.js';
 
-/** Times of the proofs. */
+/** Validity periods of proofs. */
 export interface AuthorityRules {
-  /** Time for which a proof counts, from the sending of the read, milliseconds. */
+  /** Time for which a proof is valid, from the sending of the read, milliseconds. */
   readonly proofTtlMs: number;
-  /** Added when the end of another host's proof is waited for, milliseconds; covers clock rates. */
+  /**
+   * Added when waiting for another host's proof to expire, milliseconds; covers differences in
+   * clock rate.
+   */
   readonly marginMs: number;
   /**
-   * Time for which the list of hosts may be used for renewals, milliseconds. Hosts that join meanwhile
-   * are not in it; too many of them could outvote it.
+   * Time for which the host list may be used for renewals, milliseconds. Hosts that join in the
+   * meantime are not in it, and if there are enough of them, a majority of the list is no majority
+   * of all hosts.
    */
   readonly hostListTtlMs: number;
 }
 
 /**
- * 1 s: a host that is cut off delays a promotion by this much. Renewed every 300 ms and passed on at
- * once (`DEFAULT_PROOFS` and `DEFAULT_SYNC` of the gateway), so that one failed renewal does no harm. docs/PLATFORM.md compares it with 1.5 s, and that with 3 s.
+ * 1 s: an unreachable host delays a promotion by this much. Proofs are renewed every 300 ms and
+ * passed on immediately (`DEFAULT_PROOFS` and `DEFAULT_SYNC` of the gateway), so that one failed
+ * renewal does no harm. docs/PLATFORM.md compares 1 s with 1.5 s, and 1.5 s with 3 s.
  */
 export const DEFAULT_AUTHORITY: AuthorityRules = {
   proofTtlMs: 1000,
@@ -37,18 +44,18 @@
   hostListTtlMs: 20_000,
 };
 
-/** What a host knows when it asks whether it may use the primary. */
+/** What a host knows when it checks whether it may use the primary. */
 export interface AuthorityView {
   readonly record: PrimaryRecord | undefined;
-  /** Local time at which the read behind the newest proof was sent; -Infinity without one. */
+  /** Local time at which the read behind the newest proof was sent; -Infinity without a proof. */
   readonly provedAt: number;
-  /** Birth that the entry of the record's primary tells; missing where it tells none. */
+  /** Start time that the entry of the record's primary reports; missing if it reports none. */
   readonly primaryStartTime?: StartTime;
 }
 
 /**
- * Whether the primary of the view may be used at `now`. One that has started anew since it was named
- * leads nothing: it holds none of the commits.
+ * Whether the primary of the view may be used at `now`. A primary that has restarted since the
+ * record named it may not: it holds none of the commits.
  */
 export function hasAuthority(view: AuthorityView, now: number, rules: AuthorityRules): boolean {
   if (view.record?.phase !== RecordPhase.Serving) return false;
@@ -57,17 +64,18 @@
 }
 
 /**
- * Whether a host is cut off at `now`: neither the store nor more than half of the hosts renew its
- * proof, or it never had one. While the store is away for everybody, the hosts renew one another.
+ * Whether a host is isolated at `now`: its proof has expired because neither the store nor more
+ * than half of the hosts renewed it, or it never had one. While the store is unavailable to all
+ * hosts, the hosts renew each other's proofs.
  */
 export function isIsolated(provedAt: number, now: number, rules: AuthorityRules): boolean {
   return now - provedAt >= rules.proofTtlMs;
 }
 
 /**
- * Whether an answer that arrived at `now` counts: it comes from the primary of the record under which the question
- * was sent, that epoch is still in force, and the proof still valid. A question may have been meant for an upstream
- * before it waited, and sent under a record that names another one by then.
+ * Whether an answer that arrived at `now` is valid: it comes from the primary of the record under
+ * which the request was sent, that epoch is still in force, and the proof is still valid. A request
+ * that waited may be sent under a record that names another upstream than the one it was meant for.
  */
 export function isAnswerValid(
   sentUnder: PrimaryRecord,
@@ -81,29 +89,30 @@
 }
 
 /**
- * When a host that does not answer has surely given the former primary up: its proof is from before
- * the claim, or was renewed before more than half of the hosts had acknowledged the claim.
+ * Local time by which every host that does not answer has certainly released the former primary:
+ * its proof dates from before the claim, or was renewed before more than half of the hosts had
+ * acknowledged the claim.
  */
 export function proofsExpiredAt(majorityAckedAt: number, rules: AuthorityRules): number {
   return majorityAckedAt + rules.proofTtlMs + rules.marginMs;
 }
 
-/** Whether `count` hosts are more than half of `listed`. */
+/** Whether `count` hosts are more than half of `listed` hosts. */
 export function isMajority(count: number, listed: number): boolean {
   return count * 2 > listed;
 }
 
-/** A renewal of a proof by other hosts. */
+/** Renewal of a proof by other hosts. */
 export interface PeerRenewal {
-  /** Hosts listed when the store was last read, this one included. */
+  /** Number of hosts listed when the store was last read, including this one. */
   readonly listed: number;
-  /** Hosts that answered, this one included. */
+  /** Number of hosts that answered, including this one. */
   readonly answered: number;
-  /** Local time of the read of the list. */
+  /** Local time at which the host list was read. */
   readonly listReadAt: number;
 }
 
-/** Whether a renewal by other hosts counts at `now`. */
+/** Whether a renewal by other hosts is valid at `now`. */
 export function isRenewalValid(renewal: PeerRenewal, now: number, rules: AuthorityRules): boolean {
   if (now - renewal.listReadAt > rules.hostListTtlMs) return false;
   return isMajority(renewal.answered, renewal.listed);
--- a/packages/coordination/src/authority/damping.ts
+++ b/packages/coordination/src/authority/damping.ts
@@ -1,24 +1,24 @@
 /**
- * Keeps a group from flapping: after a promotion more evidence is needed for a while, and attempts
- * back off with jitter.
+ * Flap damping: after a promotion, a suspicion has to last longer for a while before it leads to
+ * another one, and attempts back off with jitter.
  */
 import type { RandomSource } from '../model/random.js';
 
-/** Bounds of damping. */
+/** Parameters of flap damping. */
 export interface DampingRules {
-  /** Delay of the first attempt for each step of rank, milliseconds. */
+  /** Delay of the first attempt per rank, milliseconds. */
   readonly rankDelayMs: number;
   /** Base of the backoff between attempts, milliseconds. */
   readonly backoffMs: number;
   /** Longest backoff, milliseconds. */
   readonly maxBackoffMs: number;
-  /** Time after a promotion in which suspicion must last longer, milliseconds. */
+  /** Time after a promotion during which a suspicion must last longer, milliseconds. */
   readonly stabilizationMs: number;
-  /** Factor by which it must last longer. */
+  /** Factor by which it must last longer in that time. */
   readonly stabilizationFactor: number;
 }
 
-/** Damping with default settings. */
+/** Default parameters. */
 export const DEFAULT_DAMPING: DampingRules = {
   rankDelayMs: 150,
   backoffMs: 200,
@@ -27,7 +27,7 @@
   stabilizationFactor: 2,
 };
 
-/** Suspicion time needed at `now`, milliseconds, given the time of the last promotion. */
+/** Time for which a suspicion has to last at `now`, milliseconds, given the time of the last promotion. */
 export function requiredSuspicionMs(
   suspectAfterMs: number,
   lastPromotionAt: number | undefined,
@@ -35,11 +35,11 @@
   rules: DampingRules,
 ): number {
   if (lastPromotionAt === undefined) return suspectAfterMs;
-  const calm = now - lastPromotionAt < rules.stabilizationMs;
-  return calm ? suspectAfterMs * rules.stabilizationFactor : suspectAfterMs;
+  const isStabilizing = now - lastPromotionAt < rules.stabilizationMs;
+  return isStabilizing ? suspectAfterMs * rules.stabilizationFactor : suspectAfterMs;
 }
 
-/** Wait before attempt number `attempt` (0 for the first) of the home with this rank, milliseconds. */
+/** Delay before attempt number `attempt` (from 0) of the home with this rank, milliseconds. */
 export function attemptDelayMs(
   attempt: number,
   rank: number,
--- a/packages/coordination/src/authority/era-opening.ts
+++ b/packages/coordination/src/authority/era-opening.ts
@@ -1,31 +1,33 @@
 /**
- * When a new era of the metadata store may be relied on. The store has come back from a copy and lacks its last
- * changes; what was acted on of them has to be written back first. A claim is acted on only after more than half of the
- * listed hosts have acknowledged it, so one of any such number of hosts has heard of it.
+ * Decides when a new era of the metadata store may be opened. An era begins when the store is
+ * restored from a copy that lacks its latest changes; changes that hosts have acted on have to be
+ * written back first. A claim is acted on only after more than half of the listed hosts have
+ * acknowledged it, so any group of more than half includes a host that knows of it.
  */
 import type { AuthorityRules } from './authority.js';
 import { isMajority } from './authority.js';
 import { MAX_LOST_CHANGES } from './unreadable-documents.js';
 
-/** What became of the hosts that were listed in the era before. */
+/** State of the hosts that were listed in the previous era. */
 export interface PreviousEraHosts {
   readonly listed: number;
-  /** Those that have told, as the very processes that were listed, what they know. */
+  /** Hosts that have reported what they know and still run the process that was listed. */
   readonly answered: number;
-  /** Those in whose place another process is listed by now; it knows nothing of before. */
+  /** Hosts that are now listed with another process, which knows nothing of the previous era. */
   readonly replaced: number;
 }
 
 /**
- * Whether an era that was first seen `sinceMs` ago may be opened. Before a proof's life is over, proofs read in the
- * former era may be in use; after the life of a list and of a proof together, silent hosts can't have any.
+ * Whether an era that was first observed `sinceMs` ago may be opened. Until the validity of a proof
+ * has passed, proofs read in the previous era may still be in use; once the validity of a host list
+ * and of a proof have passed, hosts that do not answer can no longer hold one.
  */
 export function mayOpenEra(
-  former: PreviousEraHosts,
+  previous: PreviousEraHosts,
   sinceMs: number,
   rules: AuthorityRules,
 ): boolean {
-  const { listed, answered, replaced } = former;
+  const { listed, answered, replaced } = previous;
   if (listed === 0) return true;
   if (sinceMs < rules.proofTtlMs) return false;
   if (isMajority(answered, listed) || answered + replaced >= listed) return true;
@@ -33,8 +35,8 @@
 }
 
 /**
- * The fence from which an era goes on, where the newest one known is `known`. A holder that was not heard may have used
- * higher ones, each of which took a change of the store.
+ * Fence with which an era begins, given the highest known one. A holder that did not report may
+ * have used higher fences, each of which took one change of the store.
  */
 export function initialFence(known: number, { listed, answered }: PreviousEraHosts): number {
   return answered === listed ? known : known + MAX_LOST_CHANGES;
--- a/packages/coordination/src/authority/failover.ts
+++ b/packages/coordination/src/authority/failover.ts
@@ -1,6 +1,6 @@
 /**
- * Decisions about changing a group's primary: when to suspect it, who acts, which upstream follows
- * it, and when a host may call for promotions.
+ * Decisions on a change of a group's primary: when to suspect the primary, which host acts, which
+ * upstream succeeds it, and when a host may request promotions.
  */
 import type { StartTime } from '../membership/upstream-identity.js';
 import type { HostId, UpstreamId } from '../model/ids.js';
@@ -8,25 +8,27 @@
 import type { NamedSuccessor, PrimaryRecord } from './primary-record.js';
 import { comparePositions } from '../reads/position.js';
 
-/** Times of failover. */
+/** Time limits of failover. */
 export interface FailoverRules {
-  /** Time for which a primary must have failed this host before it is suspected, milliseconds. */
+  /** Time for which a primary must be unreachable for this host before it is suspected, milliseconds. */
   readonly suspectAfterMs: number;
-  /** Time that each host leaves to those before it in rank, milliseconds. */
+  /** Delay per rank, during which hosts of lower rank numbers act first, milliseconds. */
   readonly rankDelayMs: number;
-  /** Time after which a claim that has not ended may be taken over, milliseconds. */
+  /** Time after which another host may take over an unfinished claim, milliseconds. */
   readonly stalledAfterMs: number;
-  /** Time from a claim of the duty in which its holder may call, milliseconds. */
+  /** Time from acquiring the promotion lease in which its holder may request promotions, milliseconds. */
   readonly leaseWindowMs: number;
-  /** Time that must lie between the windows of two holders, milliseconds. */
+  /** Minimum time between the windows of two lease holders, milliseconds. */
   readonly leaseGapMs: number;
 }
 
 /**
- * 250 ms: twice a tick and a probe; the others still have to agree. 50 ms: a claim travels in less,
- * and only some hosts notice a failure, so the first of them may stand far back in the order. 3.5 s: a
- * claim that waits for silent hosts takes 3 s. 4 s: the call of such a claim is made by then; the
- * successor of a holder that died has to wait the rest out. Gap: docs/PLATFORM.md.
+ * Suspicion, 250 ms: twice a tick plus a probe; the other hosts still have to agree. Rank delay, 50
+ * ms: a claim reaches the other hosts sooner, and since only some hosts notice a failure, the first
+ * of them may have a high rank number. Stalled claim, 3.5 s: a claim that waits for hosts that do
+ * not answer takes 3 s. Lease window, 4 s: the promotion of such a claim is requested by then; the
+ * successor of a holder that failed has to wait for the rest of the window. Lease gap: see
+ * docs/PLATFORM.md.
  */
 export const DEFAULT_FAILOVER: FailoverRules = {
   suspectAfterMs: 250,
@@ -36,26 +38,26 @@
   leaseGapMs: 2000,
 };
 
-/** What the hosts that were asked say about a suspected primary. */
+/** Reachability of a suspected primary as reported by the queried hosts. */
 export interface ReachEvidence {
-  /** Hosts that reach it. */
+  /** Number of hosts that reach it. */
   readonly reaching: number;
-  /** Hosts that answered and don't reach it, the asking one included. */
+  /** Number of hosts that answered and do not reach it, including the querying one. */
   readonly failing: number;
-  /** Hosts that did not answer; a refused connection tells no more than silence. */
+  /** Number of hosts that did not answer. A refused connection counts as no answer: it proves no more. */
   readonly silent: number;
 }
 
-/** What to do about a suspected primary. */
+/** Decision on a suspected primary. */
 export enum FailoverDecision {
   Promote = 'promote',
   Wait = 'wait',
 }
 
 /**
- * Judges a primary that has failed the asking host for `failedMs`. More than half of the hosts asked,
- * some of each zone, have to miss it: hosts that are cut off themselves are never that many, and must
- * not act on what only they see.
+ * Decides on a primary that has been unreachable for the querying host for `failedMs`. More than
+ * half of the queried hosts, which are picked from every zone, must not reach it: hosts that are
+ * isolated themselves never make up that many, and must not act on what only they observe.
  */
 export function decideFailover(
   evidence: ReachEvidence,
@@ -68,26 +70,27 @@
   return failedMs >= rules.suspectAfterMs ? FailoverDecision.Promote : FailoverDecision.Wait;
 }
 
-/** What an upstream reported, for the choice of a successor. */
+/** Report of an upstream for the choice of a successor. */
 export interface SuccessorReport {
   readonly id: UpstreamId;
-  /** Birth that its entry told when it reported; missing where it told none. */
+  /** Start time in its entry when it reported; missing if the entry has none. */
   readonly born?: StartTime;
   readonly isPrimary: boolean;
   readonly term: number;
   readonly received: Position;
-  /** Whether it is about to leave. */
+  /** Whether it is draining. */
   readonly draining: boolean;
-  /** Whether its zone is evacuated; missing counts as not. */
+  /** Whether its zone is evacuated; missing means false. */
   readonly evacuated?: boolean;
-  /** Whether it stands in the region of the former primary. */
+  /** Whether it is in the region of the former primary. */
   readonly isInFormerRegion: boolean;
 }
 
 /**
- * The upstream that becomes primary: one that already leads, under a term that nobody is ahead of,
- * else the one that has received most, among equals one of the region where the primary was. Leaving
- * ones only if there is no other, those of evacuated zones never.
+ * Chooses the upstream that becomes primary: one that is primary already, under a term that no
+ * report exceeds, else the one that has received the most, and among equals one in the region of
+ * the former primary. Draining upstreams are chosen only if there is no other, upstreams of
+ * evacuated zones never.
  */
 export function chooseSuccessor(
   reports: readonly SuccessorReport[],
@@ -96,15 +99,15 @@
   const others = reports.filter((report) => report.id !== former && report.evacuated !== true);
   const staying = others.filter((report) => !report.draining);
   const candidates = staying.length > 0 ? staying : others;
-  const newestTerm = Math.max(...reports.map(({ term }) => term));
-  const leading = candidates.filter(({ isPrimary, term }) => isPrimary && term >= newestTerm);
-  return [...(leading.length > 0 ? leading : candidates)].sort(byReceived)[0];
+  const highestTerm = Math.max(...reports.map(({ term }) => term));
+  const primaries = candidates.filter(({ isPrimary, term }) => isPrimary && term >= highestTerm);
+  return [...(primaries.length > 0 ? primaries : candidates)].sort(compareCandidates)[0];
 }
 
 /**
- * Whether enough upstreams have reported for one of them to hold every confirmed commit. A commit is
- * confirmed once `syncReplicas` replicas have received it, so at most `syncReplicas - 1` of the
- * `replicas` may be missing. Where replicas confirm nothing, any report is enough.
+ * Whether enough upstreams have reported for one of them to hold every confirmed commit. A commit
+ * is confirmed once `syncReplicas` replicas have received it, so at most `syncReplicas - 1` of the
+ * `replicas` may be missing. If replicas take no part in confirmation, one report is enough.
  */
 export function hasEnoughReports(
   reports: readonly SuccessorReport[],
@@ -118,9 +121,10 @@
 }
 
 /**
- * The successor if enough upstreams have reported for it to hold every confirmed commit. Reports from
- * evacuated zones show what was confirmed, but their upstreams can't follow: where the others alone are
- * too few, the successor must have received as much as they all.
+ * Chooses the successor if enough upstreams have reported for it to hold every confirmed commit.
+ * Reports from evacuated zones show what was confirmed, but their upstreams can't become primary:
+ * if the other reports alone are too few, the successor must have received at least as much as
+ * every upstream that reported.
  */
 export function chooseCoveringSuccessor(
   reports: readonly SuccessorReport[],
@@ -141,8 +145,9 @@
 }
 
 /**
- * Whether a planned change had better end with the former primary: it reports, and nobody who could
- * follow holds all of its commits. An upstream that leads already is followed whatever it lacks.
+ * Whether a planned change should keep the former primary: it has reported, and no possible
+ * successor holds all of its commits. An upstream that is primary already succeeds it regardless of
+ * what it lacks.
  */
 export function shouldKeepFormerPrimary(
   chosen: SuccessorReport | undefined,
@@ -152,9 +157,9 @@
   return chosen === undefined || chosen.received.offset < former.received.offset;
 }
 
-/** What a host knows of the upstream that a claim has named. */
+/** What a host knows about the successor named by a claim. */
 export interface SuccessorStatus {
-  /** Whether it has an entry, and has not started anew since it was named. */
+  /** Whether it has an entry and has not restarted since it was named. */
   readonly isThere: boolean;
   readonly isEvacuated: boolean;
   /** Whether the platform has refused to promote it. */
@@ -162,42 +167,44 @@
 }
 
 /**
- * The upstream that the claim after `claim` has to name as well. A call for it may take effect at any time, however
- * long ago it was made or given up, so no other one is called for while it could.
+ * The successor that the claim after `claim` has to retain. A promotion request for it may take
+ * effect at any time, no matter how long ago it was sent or abandoned, so no other upstream may be
+ * promoted as long as that is possible.
  */
 export function retainedSuccessor(
   claim: PrimaryRecord,
-  standing: SuccessorStatus,
+  status: SuccessorStatus,
 ): NamedSuccessor | undefined {
-  const { isThere, isEvacuated, isRefused } = standing;
+  const { isThere, isEvacuated, isRefused } = status;
   return isThere && !isEvacuated && !isRefused ? claim.successor : undefined;
 }
 
-function byReceived(a: SuccessorReport, b: SuccessorReport): number {
+function compareCandidates(a: SuccessorReport, b: SuccessorReport): number {
   const byPosition = comparePositions(b.received, a.received);
   if (byPosition !== 0) return byPosition;
   if (a.isInFormerRegion !== b.isInFormerRegion) return a.isInFormerRegion ? -1 : 1;
   return a.id < b.id ? -1 : 1;
 }
 
-/** The duty record as seen by a host. */
+/** The promotion lease as observed by a host. */
 export interface SeenPromotionLease {
   readonly holder: HostId;
   readonly incarnation: number;
   readonly fence: number;
-  /** Local time at which this version was first seen. */
+  /** Local time at which this version was first observed. */
   readonly seenAt: number;
 }
 
-/** Whether and with which fence a host may take the duty. */
+/** Whether and with which fence a host may acquire the promotion lease. */
 export type PromotionLeaseClaim =
   | { readonly kind: 'take'; readonly fence: number }
-  /** Another host may still be calling; its window is over at that local time. */
+  /** Another host may still request promotions; its window ends at that local time. */
   | { readonly kind: 'wait'; readonly until: number };
 
 /**
- * How a host may take the duty at `now`. Another holder's window is waited out, counted from when
- * its record was seen, which is later than its begin.
+ * How a host may acquire the promotion lease at `now`. It has to wait until another holder's window
+ * has ended, counted from when that holder's record was observed, which is later than the start of
+ * the window.
  */
 export function claimPromotionLease(
   seen: SeenPromotionLease | undefined,
@@ -216,8 +223,9 @@
 }
 
 /**
- * The order in which hosts act on suspected primaries: the holder of the duty goes first for as long
- * as nobody else may call, so that one change of primary does not hold the next one up.
+ * The order in which hosts act on suspected primaries. The holder of the promotion lease goes first
+ * as long as no other host may request promotions, so that one change of primary does not delay the
+ * next.
  */
 export function failoverOrder(
   ranked: readonly HostId[],
@@ -230,7 +238,7 @@
   return [seen.holder, ...ranked.filter((host) => host !== seen.holder)];
 }
 
-/** When a host that does not hold the duty may take it. */
+/** Local time at which a host that does not hold the promotion lease may acquire it. */
 function promotionLeaseFreeAt(seen: SeenPromotionLease, rules: FailoverRules): number {
   return seen.seenAt + rules.leaseWindowMs + rules.leaseGapMs;
 }
--- a/packages/coordination/src/authority/primary-record.ts
+++ b/packages/coordination/src/authority/primary-record.ts
@@ -1,43 +1,46 @@
 /**
- * What the metadata store holds of a group's primary, and the order of two versions of it.
+ * The record of a group's primary in the metadata store, and the order of its versions.
  */
 import type { StartTime, UpstreamIdentity } from '../membership/upstream-identity.js';
 import type { GroupId, HostId, UpstreamId } from '../model/ids.js';
 import type { Position } from '../reads/position.js';
 
-/** Where a group stands between two primaries. */
+/** Phase of a record. */
 export enum RecordPhase {
-  /** A host has claimed the change of primary; nobody may use the former one any more. */
+  /** A host has claimed a change of primary; the former primary may no longer be used. */
   Claimed = 'claimed',
-  /** The primary named in the record takes work. */
+  /** The primary named in the record accepts work. */
   Serving = 'serving',
 }
 
-/** The upstream that a holder has called for, or is about to, and what it told of itself before. */
+/**
+ * The upstream for which the holder of a claim has requested promotion, or is about to, with its
+ * last report before that.
+ */
 export interface NamedSuccessor extends UpstreamIdentity {
-  /** Whether it led already. */
+  /** Whether it was primary already. */
   readonly isPrimary: boolean;
   readonly term: number;
   readonly received: Position;
 }
 
-/** Record of a group's primary, changed by compare-and-swap only. */
+/** Record of a group's primary; changed only by compare-and-swap. */
 export interface PrimaryRecord {
   readonly group: GroupId;
-  /** Grows by one with each claim. */
+  /** Increases by one with each claim. */
   readonly epoch: number;
   readonly phase: RecordPhase;
-  /** The primary; while claimed, the former one. */
+  /** The primary; while claimed, the former primary. */
   readonly primary: UpstreamId;
-  /** Birth of the primary, as it told when it was named; missing where it told none. */
+  /** Start time that the primary reported when it was named; missing if it reported none. */
   readonly born?: StartTime;
   /** Host that claimed this epoch. */
   readonly holder: HostId;
-  /** While claimed: the only upstream that may be called for; missing until one is named. */
+  /** While claimed: the only upstream that may be promoted; missing until one is named. */
   readonly successor?: NamedSuccessor | undefined;
 }
 
-/** The claim that follows a record, with the successor that a claim before it has named, if any. */
+/** The claim that follows `former`, with the successor that an earlier claim named, if any. */
 export function claimedRecord(
   former: PrimaryRecord,
   holder: HostId,
@@ -48,20 +51,20 @@
   return successor === undefined ? claim : { ...claim, successor };
 }
 
-/** A claim that names the only upstream that may be called for. */
+/** The claim with the only upstream that may be promoted under it. */
 export function namedRecord(claim: PrimaryRecord, successor: NamedSuccessor): PrimaryRecord {
   const { id, born, isPrimary, term, received } = successor;
   return { ...claim, successor: { id, born, isPrimary, term, received } };
 }
 
-/** The record that ends a claim: `primary` serves the claimed epoch. */
+/** The record that completes a claim: `primary` serves in the claimed epoch. */
 export function servingRecord(claim: PrimaryRecord, primary: UpstreamIdentity): PrimaryRecord {
   const { id, born } = primary;
   const { group, epoch, holder } = claim;
   return { group, epoch, phase: RecordPhase.Serving, primary: id, born, holder };
 }
 
-/** Versions of a record under one epoch. */
+/** Versions of a record within one epoch, in their order. */
 enum RecordStep {
   Claimed,
   Named,
@@ -69,7 +72,10 @@
 }
 const STEPS_OF_EPOCH = 3;
 
-/** Total order of the versions of one record: by epoch, a claim before its successor is named, that before its end. */
+/**
+ * Total order of the versions of one record: by epoch, then the claim, the claim with a named
+ * successor, and the serving record.
+ */
 export function recordRank(record: PrimaryRecord): number {
   return record.epoch * STEPS_OF_EPOCH + stepOf(record);
 }
@@ -84,7 +90,7 @@
   return held === undefined || recordRank(next) > recordRank(held);
 }
 
-/** Whether a host that holds `held` uses nothing any more that the claim takes away. */
+/** Whether a host that holds `held` no longer uses the primary that the claim replaces. */
 export function acknowledgesClaim(held: PrimaryRecord, claim: PrimaryRecord): boolean {
   if (held.epoch !== claim.epoch) return held.epoch > claim.epoch;
   return held.phase === RecordPhase.Claimed;
--- a/packages/coordination/src/authority/promotion.ts
+++ b/packages/coordination/src/authority/promotion.ts
@@ -1,10 +1,11 @@
 /**
- * The steps of a promotion as a state machine without input or output: claim the next term in the
- * group's record, fence a majority of the upstreams, promote the highest log among them, publish.
+ * A promotion as a state machine without input or output: claim the next term in the group's
+ * record, fence a majority of the upstreams, promote the highest log among them, publish the
+ * result.
  *
- * Every step may be repeated. A claim or publication whose reply was lost is settled by reading the
- * record back. A failed promotion is never retried under the same term, because the upstream may
- * have become the primary of that term although its reply was lost.
+ * Every step may be repeated. If the reply to a claim or a publication was lost, reading the record
+ * shows whether it took effect. A failed promotion is never retried under the same term, because
+ * the upstream may have become the primary of that term although its reply was lost.
  */
 import type { GroupRecord } from '../model/group.js';
 import { GroupPhase, majorityOf } from '../model/group.js';
@@ -13,35 +14,35 @@
 import { comparePositions } from '../reads/position.js';
 import type { UpstreamReport } from '../model/upstream-report.js';
 
-/** Stage of an attempt. */
+/** Stage of a promotion attempt. */
 export enum PromotionStage {
   Claiming = 'claiming',
   Fencing = 'fencing',
   Promoting = 'promoting',
   Publishing = 'publishing',
   Done = 'done',
-  /** Given up; another attempt needs a new term. */
+  /** The attempt has ended without success; another attempt needs a new term. */
   Abandoned = 'abandoned',
 }
 
-/** One attempt. */
+/** State of one attempt. */
 export interface PromotionState {
   readonly stage: PromotionStage;
-  /** Record that this attempt wrote or is writing. */
+  /** Record that this attempt has written or is writing. */
   readonly record: GroupRecord;
-  /** Store revision of the record that the next swap expects. */
+  /** Store revision that the next compare-and-swap expects. */
   readonly revision: number;
   readonly members: readonly UpstreamId[];
-  /** Upstreams that must not become primary while another can: the suspect, and leaving ones. */
+  /** Upstreams that are chosen only if no other can be: the suspected primary and leaving upstreams. */
   readonly avoid: readonly UpstreamId[];
   readonly reports: readonly UpstreamReport[];
 }
 
-/** Outcomes that move an attempt. */
+/** Events that advance an attempt. */
 export type PromotionEvent =
   | { readonly kind: 'swapped' }
   | { readonly kind: 'conflict' }
-  /** The reply was lost: the swap may or may not have taken effect. */
+  /** The reply was lost; the swap may or may not have taken effect. */
   | { readonly kind: 'swap-unknown' }
   | {
       readonly kind: 'record-read';
@@ -51,11 +52,11 @@
   | { readonly kind: 'fenced'; readonly report: UpstreamReport }
   | { readonly kind: 'promoted'; readonly report: UpstreamReport }
   | { readonly kind: 'promote-failed' }
-  /** The time to wait for upstreams that need not be avoided is over. */
+  /** The time to wait for upstreams that are not in `avoid` has passed. */
   | { readonly kind: 'grace-over' }
   | { readonly kind: 'expired' };
 
-/** What has to be carried out next. */
+/** Actions for the caller to carry out. */
 export type PromotionAction =
   | { readonly kind: 'swap'; readonly record: GroupRecord; readonly expected: number }
   | { readonly kind: 'read-record' }
@@ -67,19 +68,19 @@
       readonly lineage: Lineage;
     };
 
-/** A state with the actions that lead on. */
+/** A state and the actions that follow from it. */
 export interface PromotionStep {
   readonly state: PromotionState;
   readonly actions: readonly PromotionAction[];
 }
 
-/** What starts an attempt. */
+/** Input of a new attempt. */
 export interface PromotionStart {
-  /** Newest record that the promoter knows. */
+  /** Latest record known to the promoter. */
   readonly record: GroupRecord;
-  /** Store revision of the record that lies there, be it an older one. */
+  /** Store revision of the record in the store, which may be an older version. */
   readonly revision: number;
-  /** Highest term that an upstream is known to be fenced at. */
+  /** Highest term at which any upstream is known to be fenced. */
   readonly fencedTerm: number;
   readonly members: readonly UpstreamId[];
   readonly avoid: readonly UpstreamId[];
@@ -89,8 +90,8 @@
 }
 
 /**
- * Begins an attempt under the term after all that are known to have been used: a store that came back from a copy may
- * have lost the records of the latest ones.
+ * Starts an attempt under a term higher than all terms known to have been used: a store that was
+ * restored from a copy may have lost the records of the latest ones.
  */
 export function startPromotion(start: PromotionStart): PromotionStep {
   const record: GroupRecord = {
@@ -111,10 +112,10 @@
   return { state, actions: [{ kind: 'swap', record, expected: start.revision }] };
 }
 
-/** Moves an attempt by one event. */
+/** Advances an attempt by one event. */
 export function advancePromotion(state: PromotionState, event: PromotionEvent): PromotionStep {
   if (state.stage === PromotionStage.Done || state.stage === PromotionStage.Abandoned) {
-    return stay(state);
+    return unchanged(state);
   }
   switch (event.kind) {
     case 'expired':
@@ -137,51 +138,52 @@
   }
 }
 
-/** The record as read tells whether the last swap took effect, whatever its reply said. */
+/** Determines from the record read whether the last swap took effect, whatever its reply was. */
 function afterRead(
   state: PromotionState,
   record: GroupRecord | undefined,
   revision: number,
 ): PromotionStep {
-  const mine = record?.attempt === state.record.attempt && record.phase === state.record.phase;
+  const isOwn = record?.attempt === state.record.attempt && record.phase === state.record.phase;
   if (state.stage === PromotionStage.Claiming) {
-    if (!mine) return abandon(state);
+    if (!isOwn) return abandon(state);
     const next = { ...state, stage: PromotionStage.Fencing, revision };
     const { term } = state.record;
     return { state: next, actions: [{ kind: 'fence', upstreams: state.members, term }] };
   }
   if (state.stage === PromotionStage.Publishing) {
-    return mine ? stay({ ...state, stage: PromotionStage.Done, revision }) : abandon(state);
+    return isOwn ? unchanged({ ...state, stage: PromotionStage.Done, revision }) : abandon(state);
   }
-  return stay(state);
+  return unchanged(state);
 }
 
 function afterFence(state: PromotionState, report: UpstreamReport): PromotionStep {
-  if (state.stage !== PromotionStage.Fencing) return stay(state);
+  if (state.stage !== PromotionStage.Fencing) return unchanged(state);
   if (report.fencedTerm > state.record.term) return abandon(state);
-  if (report.fencedTerm < state.record.term) return stay(state);
-  // Its log went through this term under a record that the store has lost; another log must not do so again.
-  if (hasReached(report, state.record.term)) return abandon(state);
+  if (report.fencedTerm < state.record.term) return unchanged(state);
+  // Its log already contains this term, under a record that the store has lost; no other log may
+  // use the term again.
+  if (containsTerm(report, state.record.term)) return abandon(state);
   const others = state.reports.filter((held) => held.upstream !== report.upstream);
   const reports = [...others, report];
   const next = { ...state, reports };
-  const wanted = reports.filter((held) => !state.avoid.includes(held.upstream));
-  if (isMajority(wanted, state)) return promoteHighest(next, wanted);
-  return reports.length === state.members.length ? promoteHighest(next, reports) : stay(next);
+  const preferred = reports.filter((held) => !state.avoid.includes(held.upstream));
+  if (isMajority(preferred, state)) return promoteHighest(next, preferred);
+  return reports.length === state.members.length ? promoteHighest(next, reports) : unchanged(next);
 }
 
-function hasReached({ received, lineage }: UpstreamReport, term: number): boolean {
+function containsTerm({ received, lineage }: UpstreamReport, term: number): boolean {
   return received.term >= term || lineage.some((entry) => entry.term >= term);
 }
 
 /**
- * Any fenced majority may choose. A suspect primary that still answers has the longest log, so it
- * is left out of the choice while a majority of the others can be had; a promotion that chose it
- * again would change nothing.
+ * Any fenced majority is enough to choose from. A suspected primary that still answers has the
+ * longest log, so it is left out of the choice as long as the others can form a majority: a
+ * promotion that chose it again would change nothing.
  */
 function afterGrace(state: PromotionState): PromotionStep {
   const canChoose = state.stage === PromotionStage.Fencing && isMajority(state.reports, state);
-  return canChoose ? promoteHighest(state, state.reports) : stay(state);
+  return canChoose ? promoteHighest(state, state.reports) : unchanged(state);
 }
 
 function isMajority(reports: readonly UpstreamReport[], state: PromotionState): boolean {
@@ -204,8 +206,8 @@
 }
 
 /**
- * Lineage of the new term: what the chosen log went through itself. Terms of the record that it
- * never reached are dropped: nothing of theirs can have been confirmed.
+ * Lineage of the new term: the terms that the chosen log contains itself. Terms of the record that
+ * it never reached are dropped, because none of their entries can have been confirmed.
  */
 function lineageFrom(chosen: UpstreamReport, term: number): Lineage {
   const { received } = chosen;
@@ -213,7 +215,10 @@
   return [...reached, { term, start: received.offset }];
 }
 
-/** Highest log among the fenced; among equals one that need not be avoided, then by name. */
+/**
+ * Highest log among the fenced upstreams; among equals one that is not in `avoid`, then the first
+ * by name.
+ */
 export function chooseHighest(
   reports: readonly UpstreamReport[],
   avoid: readonly UpstreamId[],
@@ -228,17 +233,17 @@
 }
 
 function afterPromote(state: PromotionState, report: UpstreamReport): PromotionStep {
-  if (state.stage !== PromotionStage.Promoting) return stay(state);
+  if (state.stage !== PromotionStage.Promoting) return unchanged(state);
   if (report.fencedTerm > state.record.term) return abandon(state);
   const next = { ...state, stage: PromotionStage.Publishing };
   const swap: PromotionAction = { kind: 'swap', record: state.record, expected: state.revision };
   return { state: next, actions: [swap] };
 }
 
-function stay(state: PromotionState): PromotionStep {
+function unchanged(state: PromotionState): PromotionStep {
   return { state, actions: [] };
 }
 
 function abandon(state: PromotionState): PromotionStep {
-  return stay({ ...state, stage: PromotionStage.Abandoned });
+  return unchanged({ ...state, stage: PromotionStage.Abandoned });
 }
--- a/packages/coordination/src/authority/reach-sample.ts
+++ b/packages/coordination/src/authority/reach-sample.ts
@@ -1,25 +1,25 @@
 /**
- * Whom a host asks whether they reach a primary that it misses itself.
+ * Selects the hosts that are asked whether they reach a primary that this host does not reach.
  *
- * Load pattern: a primary is lost while the fleet is large. If all hosts were asked, each would open a
- * connection to a primary that may only be slow, hundreds at once against a cap of tens, and the host
- * that asks would have to open a link to everyone. A few hosts of each zone tell as well whether the
- * primary is lost or only out of reach for some, and no change of primary rests on their word alone: more
- * than half of all hosts have to give the former primary up.
+ * Load pattern: a primary fails in a large fleet. If all hosts were asked, each would open a
+ * connection to a primary that may only be slow, hundreds at once against a limit of tens, and the
+ * asking host would have to open a link to every host. A few hosts of each zone show just as well
+ * whether the primary has failed or is unreachable for some hosts only. No change of primary rests
+ * on their answers alone: more than half of all hosts have to release the former primary.
  */
 import type { AzId, HostId } from '../model/ids.js';
 import { topCandidates } from '../placement/rendezvous.js';
 
 /**
- * Hosts of each zone that are asked. 4: no single host of a zone decides for it, and at the sizes of
- * single digits a zone this is every host, as it was before fleets grew.
+ * Number of hosts per zone that are asked. 4: no single host decides for its zone, and in zones of
+ * up to four hosts this is every host.
  */
 export const REACH_SAMPLE_PER_ZONE = 4;
 
 /**
- * The hosts that `asker` asks, one of each zone first, then a second one of each, and so on. Homes of
- * the group come first, since they have connections to the primary already; the others differ from
- * asker to asker, so that the same few are not asked by all.
+ * The hosts that `asker` asks: one of each zone, then a second one of each zone, and so on. Homes
+ * of the group come first, since they already have connections to the primary; the other hosts
+ * differ from asker to asker, so that the same few are not asked by all.
  */
 export function reachSample(
   asker: HostId,
--- a/packages/coordination/src/authority/reconcile.ts
+++ b/packages/coordination/src/authority/reconcile.ts
@@ -1,6 +1,6 @@
 /**
- * Finds upstreams that are not where the group's record wants them: replicas that follow no or an
- * older primary, former primaries that returned with an unconfirmed tail.
+ * Finds upstreams whose state differs from the group's record: replicas that follow no primary or
+ * an older one, and former primaries that returned with an unconfirmed tail of their log.
  */
 import type { GroupRecord, GroupSpec } from '../model/group.js';
 import { GroupPhase } from '../model/group.js';
@@ -8,7 +8,7 @@
 import type { UpstreamReport } from '../model/upstream-report.js';
 import { UpstreamRole } from '../model/upstream-report.js';
 
-/** Upstreams that have to be told to follow the record's primary. */
+/** Upstreams that have to be repointed to the record's primary. */
 export function upstreamsToRepoint(
   spec: GroupSpec,
   record: GroupRecord,
--- a/packages/coordination/src/authority/suspicion.ts
+++ b/packages/coordination/src/authority/suspicion.ts
@@ -1,8 +1,8 @@
 /**
- * Decides whether a group's primary is suspect. The question is not "does it answer?" but "could a
- * write be confirmed?": the age of the newest state of the primary that a majority holds. That
- * covers a dead primary, a hung one, one cut off from its replicas while callers reach it, and
- * one whose writes no replica receives.
+ * Decides whether a group's primary is suspected. The criterion is not whether it answers but
+ * whether a write could be confirmed: the age of the latest state of the primary that a majority
+ * holds. This covers a primary that has failed, one that hangs, one that callers reach but that is
+ * disconnected from its replicas, and one whose writes no replica receives.
  */
 import { majorityOffset } from './acknowledgement.js';
 import type { PrimaryWatermarks } from '../reads/watermarks.js';
@@ -21,7 +21,7 @@
   readonly reports: readonly UpstreamReport[];
   /** Time up to which the primary's authority is proved, local milliseconds. */
   readonly authority: number;
-  /** When this home began to watch the present term, local milliseconds. */
+  /** When this home began to monitor the current term, local milliseconds. */
   readonly watchingSince: number;
 }
 
@@ -39,7 +39,7 @@
   return unconfirmableMs(input, now) > suspectAfterMs;
 }
 
-/** What the homes of one zone say. */
+/** Vote of the homes of one zone. */
 export interface ZoneVote {
   readonly az: AzId;
   readonly suspects: boolean;
--- a/packages/coordination/src/authority/unreadable-documents.ts
+++ b/packages/coordination/src/authority/unreadable-documents.ts
@@ -1,6 +1,7 @@
 /**
- * What a host takes for a record or a duty that it can't read: one whose number is above any that was overwritten
- * unseen. Each version of either is a change of the store and mostly raises its number by one.
+ * Placeholders for a primary record or a promotion lease that a host can't read. Their number is
+ * higher than that of any version that may have been overwritten unread: each version of either
+ * document is one change of the store and usually increases its number by one.
  */
 import type { GroupId } from '../model/ids.js';
 import { hostId, upstreamId } from '../model/ids.js';
@@ -9,29 +10,33 @@
 import type { PrimaryRecord } from './primary-record.js';
 import { RecordPhase } from './primary-record.js';
 
-/** Holder of what can't be read: no host has this name, so nobody takes itself for it. */
+/** Holder of an unreadable document. No host has this name, so none takes itself for the holder. */
 export const UNKNOWN_HOST = hostId('');
-/** Primary of a group of which no record was ever read. */
+/** Primary of a group whose record was never read. */
 const UNKNOWN_UPSTREAM = upstreamId('');
 /**
- * More changes than a store can lose when it comes back from a copy: some seconds of its highest rate of writing,
- * a few thousand a second.
+ * Upper bound of the changes that a store can lose when it is restored from a copy: some seconds at
+ * its highest write rate of a few thousand changes per second.
  */
 export const MAX_LOST_CHANGES = 100_000;
-/** Fences are raised by that much as well where it is not known which ones were used before an era. */
-const RAISES_OF_ERA = 2;
+/**
+ * Multiple of `MAX_LOST_CHANGES` per era: an era can lose that many changes, and its opening raises
+ * fences by as many if it is unknown which ones were used before.
+ */
+const INCREASES_PER_ERA = 2;
 
 /**
- * A number that no version of a record or a duty written up to `position` exceeds: one for each change that the store
- * remembers, and for those that it has lost.
+ * Upper bound of the number of any record or promotion lease written up to `position`: one for each
+ * change that the store contains, plus those that it has lost.
  */
-function numberBound({ era, revision }: StorePosition): number {
-  return revision + era * RAISES_OF_ERA * MAX_LOST_CHANGES;
+function maxNumberAt({ era, revision }: StorePosition): number {
+  return revision + era * INCREASES_PER_ERA * MAX_LOST_CHANGES;
 }
 
 /**
- * A record that can't be read counts as claimed by an unknown host: nobody uses the primary, and hosts take the
- * claim over as any other that stalls. The record it stands in for may have named another primary than `former`.
+ * An unreadable record counts as claimed by an unknown host: no host uses the primary, and hosts
+ * take over the claim like any other stalled one. The record that it replaces may have named
+ * another primary than `former`.
  */
 export function placeholderRecord(
   group: GroupId,
@@ -40,7 +45,7 @@
 ): PrimaryRecord {
   return {
     group,
-    epoch: Math.max(numberBound(position), (former?.epoch ?? 0) + 1),
+    epoch: Math.max(maxNumberAt(position), (former?.epoch ?? 0) + 1),
     phase: RecordPhase.Claimed,
     primary: former?.primary ?? UNKNOWN_UPSTREAM,
     holder: UNKNOWN_HOST,
@@ -48,12 +53,15 @@
   };
 }
 
-/** A duty that can't be read counts as just taken by an unknown host: its window is waited out. */
+/**
+ * An unreadable promotion lease counts as just acquired by an unknown host, so that hosts wait
+ * until its window has ended.
+ */
 export function placeholderPromotionLease(
   former: SeenPromotionLease | undefined,
   position: StorePosition,
   seenAt: number,
 ): SeenPromotionLease {
-  const fence = Math.max(numberBound(position), (former?.fence ?? 0) + 1);
+  const fence = Math.max(maxNumberAt(position), (former?.fence ?? 0) + 1);
   return { holder: UNKNOWN_HOST, incarnation: 0, fence, seenAt };
 }
