--- a/packages/coordination/src/load/connection-share.ts
+++ b/packages/coordination/src/load/connection-share.ts
@@ -1,38 +1,38 @@
 /**
- * How many hosts of each zone hold connections to the upstreams of a group, and how many each.
- * With few hosts every host holds its own; with many, a few of each zone hold them for the others.
- * Where connections serve one workspace each and there are more workspaces than a home has
- * connections, one host of each zone is a home.
+ * How many hosts of each zone hold connections to the upstreams of a group, and how many
+ * connections each of them holds. In small deployments every host holds its own; in large ones a
+ * few homes per zone hold them for the other hosts. If each connection is dedicated to one
+ * workspace and there are more workspaces than a home has connections, each zone has one home.
  */
 import { homesOf } from '../placement/homes.js';
 import type { AzId, GroupId, HostId, WorkspaceId } from '../model/ids.js';
 import { rankCandidates } from '../placement/rendezvous.js';
 
-/** A host as far as homes are concerned. */
+/** A host that may become a home. */
 export interface HomeCandidate {
   readonly host: HostId;
   readonly az: AzId;
 }
 
-/** Bounds of the split. */
+/** Parameters of the split. */
 export interface ShareRules {
-  /** Part of an upstream's connections that is used; the rest covers hosts that come and go. */
+  /** Share of an upstream's connections that is used; the rest covers hosts that join and leave. */
   readonly usableShare: number;
-  /** Connections for each statement that an upstream runs at once; more only make its queue longer. */
+  /** Connections per statement that an upstream runs concurrently; more only lengthen its queue. */
   readonly connectionsPerSlot: number;
-  /** Least number of connections for which it is worth being a home. */
+  /** Minimum number of connections of a home. */
   readonly minConnectionsPerHome: number;
-  /** Part of an upstream's connections that is used where each serves one workspace. */
+  /** Share of an upstream's connections that is used if each is dedicated to one workspace. */
   readonly dedicatedShare: number;
 }
 
 /**
- * 0.6: an upstream counts the connections of dark hosts for 3 s more; the rest lets most of them in again
- * at once after a power loss of all hosts. With 0.5 transactions wait for connections
- * (docs/DECISIONS.md). Six a slot: one running, one queued, the others in transactions or hosts with
- * nothing to do. Two a home: one transaction and one read. 0.9 where connections serve one workspace
- * each: mostly they rest, and each more saves opening others; a home that goes dark leaves a third of them
- * dark, and the rest covers the hosts that stand in.
+ * Usable share, 0.6: an upstream counts the connections of failed hosts for another 3 s; after a
+ * power loss of all hosts, the rest lets most of them reconnect immediately. With 0.5, transactions
+ * wait for connections (docs/DECISIONS.md). Six per slot: one running, one queued, the others in
+ * open transactions or at idle hosts. Two per home: one transaction and one read. Dedicated share,
+ * 0.9: such connections are mostly idle, and each additional one avoids opening others; when a home
+ * fails, a third of them becomes unavailable, and the rest covers the hosts that take over.
  */
 export const DEFAULT_SHARES: ShareRules = {
   usableShare: 0.6,
@@ -41,77 +41,80 @@
   dedicatedShare: 0.9,
 };
 
-/** What upstreams of a group allow. */
+/** Connection limits of the upstreams of a group. */
 export interface UpstreamCapacity {
-  /** Connections to one upstream over all hosts. */
+  /** Connections to one upstream from all hosts together. */
   readonly connections: number;
-  /** Statements that one upstream runs at once. */
+  /** Statements that one upstream runs concurrently. */
   readonly slots: number;
-  /** Workspaces, each of which needs connections of its own; 0 where connections serve everybody. */
+  /** Number of workspaces if each needs connections of its own; 0 if connections are shared. */
   readonly workspaces: number;
 }
 
-/** The homes of a group in all zones, and the connections to each upstream that each may hold. */
+/** The homes of a group in all zones and the number of connections that each may hold to each upstream. */
 export interface HomePlan {
   readonly homes: ReadonlyMap<AzId, readonly HostId[]>;
   readonly connectionsPerHome: number;
-  /** Whether connections serve one workspace each, and are too few for all at once. */
+  /**
+   * Whether each connection is dedicated to one workspace and there are too few for all workspaces
+   * at once.
+   */
   readonly isDedicated: boolean;
   /**
-   * Connections that one home may hold to one upstream: by the upstream's zone, then by the home's. Missing
-   * where every home holds `connectionsPerHome`.
+   * Connections that one home may hold to one upstream, by the upstream's zone, then by the home's
+   * zone. Missing if every home holds `connectionsPerHome`.
    */
   readonly shares?: ReadonlyMap<AzId, ReadonlyMap<AzId, number>>;
 }
 
-/** Plans the homes of a group from the hosts that live, by zone; every host computes the same plan. */
+/** Plans the homes of a group from the live hosts by zone; every host computes the same plan. */
 export function planHomes(
   group: GroupId,
   zones: ReadonlyMap<AzId, readonly HostId[]>,
-  room: UpstreamCapacity,
+  capacity: UpstreamCapacity,
   rules: ShareRules = DEFAULT_SHARES,
 ): HomePlan {
-  const shared = planShared(group, zones, room, rules);
-  if (room.workspaces <= shared.connectionsPerHome) return shared;
-  return planBound(group, zones, room, rules);
+  const shared = planShared(group, zones, capacity, rules);
+  if (capacity.workspaces <= shared.connectionsPerHome) return shared;
+  return planDedicated(group, zones, capacity, rules);
 }
 
 /** Connections to one upstream that the homes of a group may hold together. */
 export function usableConnections(
-  room: UpstreamCapacity,
+  capacity: UpstreamCapacity,
   rules: ShareRules = DEFAULT_SHARES,
 ): number {
-  return Math.min(allowedConnections(room, rules), room.slots * rules.connectionsPerSlot);
+  return Math.min(allowedConnections(capacity, rules), capacity.slots * rules.connectionsPerSlot);
 }
 
-/** Connections that may be held beyond `usableConnections`, for homes that seldom need them. */
+/** Connections that may be held beyond `usableConnections`, for homes that rarely need them. */
 export function spareConnections(
-  room: UpstreamCapacity,
+  capacity: UpstreamCapacity,
   rules: ShareRules = DEFAULT_SHARES,
 ): number {
-  return allowedConnections(room, rules) - usableConnections(room, rules);
+  return allowedConnections(capacity, rules) - usableConnections(capacity, rules);
 }
 
-function allowedConnections(room: UpstreamCapacity, rules: ShareRules): number {
-  return Math.floor(room.connections * rules.usableShare);
+function allowedConnections(capacity: UpstreamCapacity, rules: ShareRules): number {
+  return Math.floor(capacity.connections * rules.usableShare);
 }
 
-/** Connections to one upstream that the homes may hold together where each serves one workspace. */
+/** Connections to one upstream that the homes may hold together if each is dedicated to one workspace. */
 export function dedicatedConnections(
-  room: UpstreamCapacity,
+  capacity: UpstreamCapacity,
   rules: ShareRules = DEFAULT_SHARES,
 ): number {
-  return Math.floor(room.connections * rules.dedicatedShare);
+  return Math.floor(capacity.connections * rules.dedicatedShare);
 }
 
 /** Homes of every zone for the callers of that zone. */
 function planShared(
   group: GroupId,
   zones: ReadonlyMap<AzId, readonly HostId[]>,
-  room: UpstreamCapacity,
+  capacity: UpstreamCapacity,
   rules: ShareRules,
 ): HomePlan {
-  const usable = usableConnections(room, rules);
+  const usable = usableConnections(capacity, rules);
   const perZone = Math.max(
     1,
     Math.floor(usable / (Math.max(1, zones.size) * rules.minConnectionsPerHome)),
@@ -119,28 +122,31 @@
   const homes = homesOfZones(group, zones, perZone);
   return {
     homes,
-    connectionsPerHome: partOf(usable, homes),
+    connectionsPerHome: connectionsPerHomeOf(usable, homes),
     isDedicated: false,
   };
 }
 
-/** One home in each zone, which has a connection of a workspace more often than each of several would. */
-function planBound(
+/**
+ * One home in each zone, which is more likely to have an open connection for a workspace than each
+ * of several homes would be.
+ */
+function planDedicated(
   group: GroupId,
   zones: ReadonlyMap<AzId, readonly HostId[]>,
-  room: UpstreamCapacity,
+  capacity: UpstreamCapacity,
   rules: ShareRules,
 ): HomePlan {
   const homes = homesOfZones(group, zones, 1);
-  const usable = dedicatedConnections(room, rules);
+  const usable = dedicatedConnections(capacity, rules);
   return {
     homes,
-    connectionsPerHome: partOf(usable, homes),
+    connectionsPerHome: connectionsPerHomeOf(usable, homes),
     isDedicated: true,
   };
 }
 
-/** Homes of a group in all zones, in an order of the workspace's own. */
+/** Homes of a group in all zones, in an order specific to the workspace. */
 export function homesOfWorkspace(
   plan: HomePlan,
   group: GroupId,
@@ -158,12 +164,12 @@
 }
 
 /** Connections of each home. */
-function partOf(usable: number, homes: ReadonlyMap<AzId, readonly HostId[]>): number {
+function connectionsPerHomeOf(usable: number, homes: ReadonlyMap<AzId, readonly HostId[]>): number {
   const count = [...homes.values()].flat().length;
   return Math.max(1, Math.floor(usable / Math.max(1, count)));
 }
 
-/** The hosts of each zone; made once for the plans of all groups. */
+/** Groups hosts by zone; the result is shared by the plans of all groups. */
 export function hostsByZone(hosts: Iterable<HomeCandidate>): ReadonlyMap<AzId, readonly HostId[]> {
   const zones = new Map<AzId, HostId[]>();
   for (const { host, az } of hosts) {
--- a/packages/coordination/src/load/local-limiter.ts
+++ b/packages/coordination/src/load/local-limiter.ts
@@ -1,36 +1,37 @@
 /**
- * What a host admits of a workspace's operations on its own, while it can't reach the host that keeps
- * the allowance: as many in each window as it admitted in the one before, evenly over the window, and one
- * at least. All hosts together then admit about what they did, which was within the limit, and hosts that
- * have all just started serve something before the keepers do.
+ * Limits a workspace's operations on one host while it can't reach the host that owns the
+ * allowance. It admits as many in each window as in the previous one, evenly spread over the
+ * window, and at least one. All hosts together then admit about as many as before, which was within
+ * the limit, and hosts that have all just started can serve some operations before the owners of
+ * allowances do.
  */
 
-/** Counts of one workspace on one host, by windows of fixed length. */
+/** Counts the admitted operations of one workspace on one host in windows of fixed length. */
 export class LocalLimiter {
-  /** Number of the window that `current` counts. */
+  /** Number of the window to which `current` belongs. */
   private window = Number.NEGATIVE_INFINITY;
   private current = 0;
-  private former = 0;
+  private previous = 0;
 
   constructor(private readonly windowMs: number) {}
 
-  /** Notes an operation that was admitted at `now`. */
+  /** Records an operation that was admitted at `now`. */
   recordAdmission(now: number): void {
-    this.turnTo(now);
+    this.advanceTo(now);
     this.current += 1;
   }
 
-  /** Whether one more may be admitted at `now` on this host's own account. */
+  /** Whether this host may admit one more operation at `now`. */
   canAdmit(now: number): boolean {
-    this.turnTo(now);
+    this.advanceTo(now);
     const elapsed = now / this.windowMs - this.window;
-    return this.current < Math.max(1, this.former * elapsed);
+    return this.current < Math.max(1, this.previous * elapsed);
   }
 
-  private turnTo(now: number): void {
+  private advanceTo(now: number): void {
     const window = Math.floor(now / this.windowMs);
     if (window === this.window) return;
-    this.former = window === this.window + 1 ? this.current : 0;
+    this.previous = window === this.window + 1 ? this.current : 0;
     this.current = 0;
     this.window = window;
   }
--- a/packages/coordination/src/load/operation-allowance.ts
+++ b/packages/coordination/src/load/operation-allowance.ts
@@ -1,82 +1,85 @@
 /**
- * The allowance of a workspace: how many operations may begin now, over all hosts together. One host
- * at a time keeps it: a token bucket that holds the workspace's burst and is filled at its rate.
+ * The allowance of a workspace: how many operations may start now on all hosts together. One host
+ * at a time owns it, as a token bucket that holds the workspace's burst and is refilled at its
+ * rate.
  *
- * Load pattern: one workspace sends many times its usual for seconds, from all zones at once, while
- * hosts come and go. What it sends beyond its limit is refused at once; what lies below is not refused
- * for want of exact knowledge, so the bucket is filled and holds more, by parts of the tolerance.
+ * Load pattern: one workspace sends many times its usual load for seconds, from all zones at once,
+ * while hosts join and leave. Operations beyond its limit are refused immediately. Operations
+ * within the limit must not be refused because the exact count is unknown, so the refill rate and
+ * the capacity of the bucket are raised by shares of the tolerance.
  */
 import type { WorkspaceLimit } from '../model/workspace.js';
 
-/** By how much a limit may be overrun, as the operators allow it. */
+/** By how much the operators allow a limit to be exceeded. */
 export interface LimitTolerance {
-  /** Length of every span in which operations are counted, seconds. */
+  /** Length of each window in which operations are counted, seconds. */
   readonly windowS: number;
-  /** Part of a window's operations that may be run on top. */
+  /** Additional operations allowed per window, as a share of the limit of the window. */
   readonly overrun: number;
-  /** Operations that may be run on top of that. */
+  /** Additional operations allowed per window beyond that share. */
   readonly slack: number;
 }
 
-/** Assumed where the settings tell nothing: the limit is exact. */
+/** Default: the limit is exact. */
 export const NO_TOLERANCE: LimitTolerance = { windowS: 5, overrun: 0, slack: 0 };
 
-/** Part of a window's tolerance by which the bucket is filled faster. */
+/** Share of a window's tolerance that is added to the refill rate. */
 const RATE_SHARE = 0.5;
-/** Part of the tolerance that the bucket holds on top of the burst. */
-const BUCKET_SHARE = 0.15;
+/** Share of the tolerance that is added to the capacity of the bucket. */
+const CAPACITY_SHARE = 0.15;
 /**
- * Part of the tolerance with which another keeper begins, so that two changes of the keeper in one window
- * stay within it. The rest is for operations that hosts admit on their own while they reach no keeper.
+ * Share of the tolerance with which a new owner starts, so that two changes of owner within one
+ * window stay within the tolerance. The rest covers operations that hosts admit on their own while
+ * they reach no owner.
  */
-const BEGIN_SHARE = 0.15;
+const INITIAL_SHARE = 0.15;
 const MS_PER_SECOND = 1000;
 
-/** A bucket at some time. */
+/** State of a bucket at a point in time. */
 export interface Allowance {
-  /** Operations that may begin; below one, none. */
+  /** Operations that may start; none if below one. */
   readonly level: number;
   /** Local time of the level. */
   readonly at: number;
 }
 
-/** What became of a question for operations. */
+/** Result of a request for operations. */
 export interface AllowanceGrant {
   readonly allowance: Allowance;
   /** Operations granted. */
   readonly granted: number;
-  /** When the next operation will be granted, milliseconds from now; 0 when one would be now. */
+  /** Time until the next operation will be granted, milliseconds; 0 if one would be granted now. */
   readonly retryAfterMs: number;
 }
 
-/** Operations that may be run in a window beyond rate and burst. */
+/** Operations allowed per window beyond rate and burst. */
 export function tolerancePerWindow(limit: WorkspaceLimit, tolerance: LimitTolerance): number {
   const { windowS, overrun, slack } = tolerance;
   return (limit.ratePerS * windowS + limit.burst) * overrun + slack;
 }
 
-/** Operations a second by which the bucket is filled. */
-function rateOf(limit: WorkspaceLimit, tolerance: LimitTolerance): number {
+/** Refill rate of the bucket, operations per second. */
+function refillRate(limit: WorkspaceLimit, tolerance: LimitTolerance): number {
   return limit.ratePerS + (tolerancePerWindow(limit, tolerance) * RATE_SHARE) / tolerance.windowS;
 }
 
-function capacityOf(limit: WorkspaceLimit, tolerance: LimitTolerance): number {
-  return limit.burst + tolerancePerWindow(limit, tolerance) * BUCKET_SHARE;
+function bucketCapacity(limit: WorkspaceLimit, tolerance: LimitTolerance): number {
+  return limit.burst + tolerancePerWindow(limit, tolerance) * CAPACITY_SHARE;
 }
 
 /**
- * Allowance with which a host begins whose rate counts from `since`, which may lie ahead. What was granted
- * before is not known, so the burst is not granted once more.
+ * Initial allowance of a host that becomes the owner; refilled from `since`, which may be in the
+ * future. What was granted before is unknown, so the burst is not granted again.
  */
 export function initialAllowance(
   limit: WorkspaceLimit,
   tolerance: LimitTolerance,
   since: number,
 ): Allowance {
-  return { level: tolerancePerWindow(limit, tolerance) * BEGIN_SHARE, at: since };
+  return { level: tolerancePerWindow(limit, tolerance) * INITIAL_SHARE, at: since };
 }
 
-/** Grants up to `wanted` operations at `now`; a limit that was lowered counts at once. */
+/** Grants up to `wanted` operations at `now`; a lowered limit takes effect immediately. */
 export function grantOperations(
   allowance: Allowance,
   limit: WorkspaceLimit,
@@ -84,20 +87,24 @@
   wanted: number,
   now: number,
 ): AllowanceGrant {
-  const ratePerS = rateOf(limit, tolerance);
-  const gained = ((now - allowance.at) / MS_PER_SECOND) * ratePerS;
-  const level = Math.min(allowance.level + Math.max(0, gained), capacityOf(limit, tolerance));
+  const ratePerS = refillRate(limit, tolerance);
+  const refilled = ((now - allowance.at) / MS_PER_SECOND) * ratePerS;
+  const level = Math.min(allowance.level + Math.max(0, refilled), bucketCapacity(limit, tolerance));
   const granted = Math.min(wanted, Math.max(0, Math.floor(level)));
-  const left = level - granted;
-  const retryAfterMs = left >= 1 ? 0 : waitForOne(left, ratePerS);
-  return { allowance: { level: left, at: Math.max(now, allowance.at) }, granted, retryAfterMs };
+  const remaining = level - granted;
+  const retryAfterMs = remaining >= 1 ? 0 : msUntilNext(remaining, ratePerS);
+  return {
+    allowance: { level: remaining, at: Math.max(now, allowance.at) },
+    granted,
+    retryAfterMs,
+  };
 }
 
-/** Longest wait that is told to callers, milliseconds; a rate of nothing never grants anything. */
-const MAX_WAIT_MS = 10_000;
+/** Longest retry delay returned to callers, milliseconds; a rate of 0 never grants anything. */
+const MAX_RETRY_AFTER_MS = 10_000;
 
-function waitForOne(level: number, ratePerS: number): number {
-  if (ratePerS <= 0) return MAX_WAIT_MS;
+function msUntilNext(level: number, ratePerS: number): number {
+  if (ratePerS <= 0) return MAX_RETRY_AFTER_MS;
   const waitMs = ((1 - level) / ratePerS) * MS_PER_SECOND;
-  return Math.max(1, Math.round(Math.min(waitMs, MAX_WAIT_MS)));
+  return Math.max(1, Math.round(Math.min(waitMs, MAX_RETRY_AFTER_MS)));
 }
--- a/packages/coordination/src/load/retry-limiter.ts
+++ b/packages/coordination/src/load/retry-limiter.ts
@@ -1,5 +1,5 @@
 /**
- * A retry budget in use: counts requests and grants retries.
+ * Stateful wrapper of a retry budget.
  */
 import type { RetryBudget, RetryBudgetRules } from './retry-budget.js';
 import { afterRequest, afterRetry, fullBudget } from './retry-budget.js';
@@ -12,12 +12,12 @@
     this.budget = fullBudget(rules);
   }
 
-  /** Notes a request. */
+  /** Adds a request's share of a token. */
   recordRequest(): void {
     this.budget = afterRequest(this.budget, this.rules);
   }
 
-  /** Whether one more retry is allowed; counts it if so. */
+  /** Takes a token for a retry; returns false if none is left. */
   tryAcquire(): boolean {
     const next = afterRetry(this.budget);
     if (next !== undefined) this.budget = next;
--- a/packages/coordination/src/membership/host-retirement.ts
+++ b/packages/coordination/src/membership/host-retirement.ts
@@ -1,33 +1,34 @@
 /**
- * When a host that does not answer may be taken off the list of hosts. A host that is wrongly taken
- * off lists itself again before it proves anything.
+ * Decides when a host that does not answer may be removed from the host list. A host that was
+ * removed wrongly registers again before it renews any proof.
  */
 
-/** Times of retirement. */
+/** Time limits of retirement. */
 export interface RetirementRules {
-  /** Time between two pings of the host that follows in the list, milliseconds. */
+  /** Interval between pings to the next host in the list, milliseconds. */
   readonly pingMs: number;
-  /** Time for which a host must have been silent, milliseconds. */
+  /** Time without an answer after which a host may be removed, milliseconds. */
   readonly silentMs: number;
 }
 
 /**
- * 10 s: longer than restarts (1 to 4 s) and most cuts (4 to 9 s); until then every change of a primary
- * waits for the proofs of a host that is gone. A ping each 3 s costs nothing.
+ * 10 s: longer than restarts (1 to 4 s) and most network partitions (4 to 9 s); until then, every
+ * change of a primary waits for the proofs of the failed host to expire. One ping every 3 s is
+ * negligible load.
  */
 export const DEFAULT_RETIREMENT: RetirementRules = { pingMs: 3000, silentMs: 10_000 };
 
-/** What the hosts say about a silent one. */
+/** Answers of the hosts about a host that does not answer. */
 export interface SilenceEvidence {
-  /** Hosts listed, the silent one included. */
+  /** Number of listed hosts, including the silent one. */
   readonly listed: number;
-  /** Hosts that tried and got no answer from it either, the asking one included. */
+  /** Number of hosts that tried and got no answer from it, including the asking one. */
   readonly missing: number;
-  /** Hosts that got an answer from it. */
+  /** Number of hosts that got an answer from it. */
   readonly reaching: number;
 }
 
-/** Whether a host that has been silent for `silentForMs` may be taken off the list. */
+/** Whether a host that has not answered for `silentForMs` may be removed from the host list. */
 export function mayRetire(
   evidence: SilenceEvidence,
   silentForMs: number,
--- a/packages/coordination/src/membership/membership.ts
+++ b/packages/coordination/src/membership/membership.ts
@@ -1,19 +1,19 @@
 /**
- * Who lives, as relays judge it. Hosts send heartbeats to the relays of their availability zone;
- * relays spread only changes. A host counts another as live while any of its relays does, so that
- * one bad link between a relay and a member removes nobody.
+ * Membership as determined by relays. Hosts send heartbeats to the relays of their availability
+ * zone; relays distribute only changes. A host counts another as live while any of its relays does,
+ * so that one bad link between a relay and a member removes no host.
  */
 import type { AzId, HostId } from '../model/ids.js';
 
 /** State of a member. */
 export enum MemberState {
   Live = 'live',
-  /** Takes no new sessions and no homes; finishes what it has. */
+  /** Accepts no new sessions and becomes no home; finishes its current work. */
   Leaving = 'leaving',
   Gone = 'gone',
 }
 
-/** One host as members know it. */
+/** One host as known to the members. */
 export interface Member {
   readonly host: HostId;
   readonly az: AzId;
@@ -25,21 +25,21 @@
   readonly state: MemberState;
 }
 
-/** A member that a relay hears. */
+/** A member whose heartbeats a relay receives. */
 export interface TrackedMember {
   readonly member: Member;
-  /** When its last heartbeat arrived, local milliseconds. */
+  /** When its latest heartbeat arrived, local milliseconds. */
   readonly lastHeartbeatAt: number;
 }
 
 /** Effect of a heartbeat on a relay's list. */
 export interface HeartbeatEffect {
   readonly heard: TrackedMember;
-  /** Whether others have to be told. */
+  /** Whether the other hosts have to be notified. */
   readonly changed: boolean;
 }
 
-/** Takes a heartbeat into a relay's list; an older incarnation changes nothing. */
+/** Applies a heartbeat to a relay's list; an older incarnation changes nothing. */
 export function applyHeartbeat(
   held: TrackedMember | undefined,
   member: Member,
@@ -51,7 +51,7 @@
   return { heard: { member, lastHeartbeatAt: now }, changed };
 }
 
-/** Members of a relay's list that have to be told as gone at `now`. */
+/** Members of a relay's list that expire at `now`, in state gone. */
 export function expiredMembers(
   list: readonly TrackedMember[],
   now: number,
@@ -65,7 +65,7 @@
     .map(({ member }) => ({ ...member, state: MemberState.Gone }));
 }
 
-/** Whether two records of a member say the same. */
+/** Whether two records of a member are equal. */
 export function sameMember(a: Member, b: Member): boolean {
   return (
     a.incarnation === b.incarnation &&
@@ -76,19 +76,22 @@
   );
 }
 
-/** Better of two records of one host: newer incarnation, then the more hopeful state. */
+/**
+ * The record that takes precedence among two of one host: the newer incarnation, then the state of
+ * higher precedence.
+ */
 export function preferMember(a: Member, b: Member): Member {
   if (a.incarnation !== b.incarnation) return a.incarnation > b.incarnation ? a : b;
-  return hope(a.state) >= hope(b.state) ? a : b;
+  return statePrecedence(a.state) >= statePrecedence(b.state) ? a : b;
 }
 
-/** A host that announced its leaving is leaving, whoever still has it as live. */
-function hope(state: MemberState): number {
+/** A host that has announced that it is leaving is leaving, even if another record still has it as live. */
+function statePrecedence(state: MemberState): number {
   if (state === MemberState.Leaving) return 2;
   return state === MemberState.Live ? 1 : 0;
 }
 
-/** Joins the views of several relays: a member lives while any of them says so. */
+/** Merges the views of several relays: a member is live while any of them reports it as live. */
 export function mergeViews(views: readonly (readonly Member[])[]): readonly Member[] {
   const joined = new Map<HostId, Member>();
   for (const view of views) {
@@ -100,7 +103,7 @@
   return [...joined.values()];
 }
 
-/** Live hosts of a zone that take work, by name. */
+/** Live hosts of a zone that accept new work, sorted by name. */
 export function activeHosts(members: readonly Member[], az: AzId): readonly HostId[] {
   return members
     .filter((member) => member.az === az && member.state === MemberState.Live)
@@ -108,14 +111,14 @@
     .sort();
 }
 
-/** Heartbeats a second that one relay takes at most; each costs it about 70 us (docs/CAPACITY.md). */
-const BEATS_PER_SECOND = 130;
-/** Heartbeats that fit into the expiry time at least, so that one lost beat removes nobody. */
-const BEATS_PER_EXPIRY = 2.3;
+/** Maximum number of heartbeats per second at one relay; each takes about 70 us (docs/CAPACITY.md). */
+const MAX_HEARTBEATS_PER_SECOND = 130;
+/** Minimum number of heartbeats per expiry time, so that one lost heartbeat removes no host. */
+const MIN_HEARTBEATS_PER_EXPIRY = 2.3;
 const MS_PER_SECOND = 1000;
 
-/** Heartbeat interval in a zone of so many members, milliseconds: large zones beat more slowly. */
+/** Heartbeat interval in a zone of `members` hosts, milliseconds; longer in large zones. */
 export function heartbeatIntervalMs(baseMs: number, members: number, expireMs: number): number {
-  const byLoad = (members * MS_PER_SECOND) / BEATS_PER_SECOND;
-  return Math.min(expireMs / BEATS_PER_EXPIRY, Math.max(baseMs, byLoad));
+  const byLoad = (members * MS_PER_SECOND) / MAX_HEARTBEATS_PER_SECOND;
+  return Math.min(expireMs / MIN_HEARTBEATS_PER_EXPIRY, Math.max(baseMs, byLoad));
 }
--- a/packages/coordination/src/membership/upstream-expiry.ts
+++ b/packages/coordination/src/membership/upstream-expiry.ts
@@ -1,27 +1,37 @@
 /**
- * What to make of an upstream whose entry has vanished from the store. Entries lapse while their
- * upstreams live, when these can't write for a while; and some upstreams leave without saying so
- * first and serve on for a while after their entry has gone.
+ * Decides how to treat an upstream whose entry has disappeared from the store. Entries expire
+ * although their upstreams are alive, when these can't write to the store for a while; and some
+ * upstreams leave without announcing it and continue to serve for a while after their entry has
+ * gone.
  */
 
-/** Times of lapsed entries. */
+/** Time limits for missing entries. */
 export interface ExpiryRules {
-  /** Time without an entry from which an upstream counts as leaving, milliseconds. */
+  /** Time without an entry after which an upstream counts as leaving, milliseconds. */
   readonly leavingAfterMs: number;
-  /** Time without an entry from which it is not used any more, milliseconds. */
+  /** Time without an entry after which it is no longer used, milliseconds. */
   readonly goneAfterMs: number;
 }
 
-/** Entries of upstreams that live are back within 2 s of the store's return; half a second for a watch. */
+/**
+ * Live upstreams write their entries again within 2 s after the store is available again; half a
+ * second is added for the watch.
+ */
 const LEAVING_AFTER_MS = 2500;
-/** A planned change of primary, which begins when its upstream counts as leaving, takes 2 s at most. */
+/** A planned change of primary, which starts when the upstream counts as leaving, takes at most 2 s. */
 const GONE_AFTER_MS = 5000;
-/** Part of the time for which a leaving upstream takes work, after which it counts as leaving: 2.45 s of 7 s. */
+/**
+ * Share of the time for which a leaving upstream accepts work, after which it counts as leaving:
+ * 2.45 s of 7 s.
+ */
 const LEAVING_SHARE = 0.35;
-/** Part of that time after which it is not used any more: 4.9 s of 7 s, so 2.45 s are left for a change. */
+/**
+ * Share of that time after which it is no longer used: 4.9 s of 7 s, which leaves 2.45 s for the
+ * change.
+ */
 const GONE_SHARE = 0.7;
 
-/** Times for upstreams that take work for `servesOnMs` after they are known to leave. */
+/** Limits for upstreams that accept work for `servesOnMs` after they are known to leave. */
 export function expiryRules(servesOnMs: number): ExpiryRules {
   return {
     leavingAfterMs: Math.min(LEAVING_AFTER_MS, servesOnMs * LEAVING_SHARE),
@@ -29,17 +39,20 @@
   };
 }
 
-/** What an upstream without an entry counts as. */
+/** State assumed of an upstream without an entry. */
 export enum ExpiryStage {
-  /** As its last entry says. */
+  /** As described by its last entry. */
   Present = 'present',
-  /** It gets no new work; a primary is replaced in a planned way. */
+  /** It receives no new work; a primary is replaced by a planned change. */
   Leaving = 'leaving',
-  /** It is not used any more. */
+  /** It is no longer used. */
   Gone = 'gone',
 }
 
-/** What an upstream counts as whose entry has been missing for `missingMs`, the store answering. */
+/**
+ * State assumed of an upstream whose entry has been missing for `missingMs` while the store was
+ * available.
+ */
 export function expiryStage(missingMs: number, rules: ExpiryRules): ExpiryStage {
   if (missingMs >= rules.goneAfterMs) return ExpiryStage.Gone;
   return missingMs >= rules.leavingAfterMs ? ExpiryStage.Leaving : ExpiryStage.Present;
