--- a/packages/coordination/src/model/blackboard.ts
+++ b/packages/coordination/src/model/blackboard.ts
@@ -1,7 +1,7 @@
 /**
- * What a host knows, in typed sections. Controllers read sections and write their decisions and
- * observations to them; input and output adapters carry them out. Nothing here lasts longer than
- * the process.
+ * In-memory state of a host, in typed sections. Controllers read sections and write their decisions
+ * and observations to them; input and output adapters carry them out. Nothing here outlives the
+ * process.
  */
 import type { PrimaryWatermarks } from '../reads/watermarks.js';
 import type { GroupRecord, GroupSpec } from './group.js';
@@ -11,7 +11,7 @@
 import type { UpstreamHealth } from './upstream-report.js';
 import { UNKNOWN_HEALTH } from './upstream-report.js';
 
-/** Sections whose changes controllers can wait for. */
+/** Sections whose changes controllers can subscribe to. */
 export enum Section {
   Bundle = 'bundle',
   Records = 'records',
@@ -23,32 +23,32 @@
 export interface KnownBundle {
   readonly version: number;
   readonly groups: ReadonlyMap<GroupId, GroupSpec>;
-  /** When it came into force, local milliseconds. */
+  /** When it took effect, local milliseconds. */
   readonly since: number;
 }
 
-/** A group's record and when it was learned. */
+/** A group's record and when it was received. */
 export interface KnownRecord {
   readonly record: GroupRecord;
   readonly since: number;
 }
 
-/** What a home observed of a group. */
+/** Observations of a home about a group. */
 export interface GroupObservation {
   readonly marks: PrimaryWatermarks;
   /** Time up to which the primaries' authority is proved, local milliseconds; never moves back. */
   readonly authority: number;
-  /** When the home began to watch the present term, local milliseconds. */
+  /** When the home began to monitor the current term, local milliseconds. */
   readonly watchingSince: number;
-  /** Apply rate of each upstream, log offsets per millisecond. */
+  /** Apply rate by upstream, log offsets per millisecond. */
   readonly applyRates: ReadonlyMap<UpstreamId, number>;
-  /** When the last promotion was seen, local milliseconds. */
+  /** When the latest promotion was observed, local milliseconds. */
   readonly lastPromotionAt: number | undefined;
 }
 
 type Listener = () => void;
 
-/** Knowledge of one host. */
+/** State of one host. */
 export class Blackboard {
   private bundleKnowledge: KnownBundle | undefined;
   private readonly records = new Map<GroupId, KnownRecord>();
@@ -56,7 +56,7 @@
   private readonly observations = new Map<GroupId, GroupObservation>();
   private memberList: readonly Member[] = [];
   private readonly listeners = new Map<Section, Set<Listener>>();
-  /** Whether this host is leaving. */
+  /** Whether this host is draining. */
   draining = false;
   private areMembersKnown = false;
 
@@ -69,7 +69,7 @@
     return this.bundleKnowledge;
   }
 
-  /** Puts a bundle in force; a version at or below the present one changes nothing. */
+  /** Puts a bundle in force; a version at or below the current one changes nothing. */
   putBundle(version: number, groups: readonly GroupSpec[], now: number): boolean {
     if (this.bundleKnowledge !== undefined && version <= this.bundleKnowledge.version) return false;
     const byId = new Map(groups.map((group) => [group.id, group]));
@@ -86,22 +86,22 @@
     return this.records.get(group);
   }
 
-  /** Takes a record; an older one changes nothing. */
+  /** Stores a record; an older one changes nothing. */
   putRecord(record: GroupRecord, now: number): boolean {
     const held = this.records.get(record.group)?.record;
     if (held !== undefined && compareRecords(record, held) <= 0) return false;
     this.records.set(record.group, { record, since: now });
-    this.noteTerm(record, held, now);
+    this.observeTerm(record, held, now);
     this.notify(Section.Records);
     return true;
   }
 
-  /** Whether the members of this zone are known well enough to take homes and a stored bundle. */
+  /** Whether the members of this zone are known well enough to assign homes and to use a stored bundle. */
   get membersKnown(): boolean {
     return this.areMembersKnown;
   }
 
-  /** Notes that the members of this zone are known; stays so. */
+  /** Marks the members of this zone as known, permanently. */
   markMembersKnown(): void {
     if (this.areMembersKnown) return;
     this.areMembersKnown = true;
@@ -144,12 +144,16 @@
     this.observations.set(group, observation);
   }
 
-  /** Forgets what was observed of a group that this host no longer watches. */
+  /** Removes the observations of a group that this host no longer monitors. */
   removeObservation(group: GroupId): void {
     this.observations.delete(group);
   }
 
-  /** Calls back after each change of a section; the result stops it. */
+  /**
+   * Calls `listener` after each change of a section.
+   *
+   * @returns a function that removes the listener
+   */
   onChange(section: Section, listener: Listener): () => void {
     const listeners = this.listeners.get(section) ?? new Set<Listener>();
     this.listeners.set(section, listeners);
@@ -159,7 +163,7 @@
     };
   }
 
-  private noteTerm(record: GroupRecord, held: GroupRecord | undefined, now: number): void {
+  private observeTerm(record: GroupRecord, held: GroupRecord | undefined, now: number): void {
     const observation = this.observations.get(record.group);
     if (observation === undefined || held === undefined || record.term === held.term) return;
     const next = { ...observation, watchingSince: now, lastPromotionAt: now };
--- a/packages/coordination/src/model/errors.ts
+++ b/packages/coordination/src/model/errors.ts
@@ -1,9 +1,10 @@
 /**
- * Errors of every package: each names the step at which it arose and the peer it concerns.
+ * Errors of all packages. Each error names the step at which it occurred and the peer that it
+ * concerns.
  */
 import ModernError from 'modern-errors';
 
-/** Steps at which an error can arise; the closed set keeps logs and metrics comparable. */
+/** Steps at which an error can occur; a closed set, so that logs and metrics are comparable. */
 export enum Step {
   Settings = 'settings',
   Accept = 'accept',
@@ -14,9 +15,9 @@
   PeerHandshake = 'peer-handshake',
   PeerExchange = 'peer-exchange',
   UpstreamConnect = 'upstream-connect',
-  /** The connection was accepted, and the session not started in time. */
+  /** The connection was accepted, but the session did not start in time. */
   UpstreamStart = 'upstream-start',
-  /** The upstream has as many connections as it allows. */
+  /** The upstream has reached its connection limit. */
   UpstreamAdmission = 'upstream-admission',
   UpstreamExchange = 'upstream-exchange',
   UpstreamStatus = 'upstream-status',
@@ -31,34 +32,34 @@
   Listen = 'listen',
 }
 
-/** Where an error arose. */
+/** Where an error occurred. */
 export interface ErrorContext {
   /** Step that failed. */
   readonly step: Step;
-  /** Address or name of the other party; empty when the step concerns no peer. */
+  /** Address or name of the peer; empty if the step concerns none. */
   readonly peer: string;
 }
 
-const PlacedError = ModernError.subclass('GladespoolError', {
+const StepError = ModernError.subclass('GladespoolError', {
   props: { step: Step.Settings, peer: '' },
 });
 
 /** An error with its step and peer. */
-export type GladespoolError = InstanceType<typeof PlacedError>;
+export type GladespoolError = InstanceType<typeof StepError>;
 
 /** Optional parts of an error. */
 export interface ErrorDetail {
-  /** Lower-level error that led to this one. */
+  /** Lower-level error that caused this one. */
   readonly cause?: unknown;
 }
 
-/** Builds an error that names its step and peer; the cause's message is appended by the base class. */
+/** Creates an error with its step and peer; the base class appends the message of the cause. */
 export function gladespoolError(
-  place: ErrorContext,
+  context: ErrorContext,
   message: string,
   detail: ErrorDetail = {},
 ): GladespoolError {
-  const props = { step: place.step, peer: place.peer };
-  if (detail.cause === undefined) return new PlacedError(message, { props });
-  return new PlacedError(message, { cause: detail.cause, props });
+  const props = { step: context.step, peer: context.peer };
+  if (detail.cause === undefined) return new StepError(message, { props });
+  return new StepError(message, { cause: detail.cause, props });
 }
--- a/packages/coordination/src/model/group.ts
+++ b/packages/coordination/src/model/group.ts
@@ -1,6 +1,6 @@
 /**
- * What is agreed about a database group: its members (from the bundle) and its record (term,
- * primary, lineage; kept in the platform's store and changed only by compare-and-swap).
+ * Shared state of a database group: its members (from the bundle) and its record (term, primary,
+ * lineage; kept in the platform's store and changed only by compare-and-swap).
  */
 import type { AzId, GroupId, HostId, UpstreamId } from './ids.js';
 import type { Lineage } from '../reads/position.js';
@@ -9,13 +9,13 @@
 export enum GroupPhase {
   /** The primary accepts writes. */
   Serving = 'serving',
-  /** A planned handover: open transactions finish, new ones wait. */
+  /** A planned handover: open transactions finish, new ones are held. */
   Draining = 'draining',
-  /** A promotion has claimed the next term and fences the upstreams. */
+  /** A promotion has claimed the next term and is fencing the upstreams. */
   Fencing = 'fencing',
 }
 
-/** Membership state of an upstream as the bundle orders it. */
+/** Membership state of an upstream as specified by the bundle. */
 export enum UpstreamState {
   Active = 'active',
   /** Receives no new work; its primary role is handed over. */
@@ -36,15 +36,18 @@
 export enum AcknowledgementKind {
   /** A majority of the group's upstreams under one term. */
   Majority = 'majority',
-  /** The primary's commit alone: loses confirmed writes; a baseline for measurements only. */
+  /**
+   * The primary's commit alone. A promotion can lose confirmed writes; only for use as a baseline
+   * of measurements.
+   */
   PrimaryCommit = 'primary-commit',
 }
 
-/** What a session is promised beyond its own writes. */
+/** Consistency guarantee of a session. */
 export enum SessionGuarantee {
   /** Reads see the session's own writes. */
   OwnWrites = 'own-writes',
-  /** Reads also never go back behind what the session has read before. */
+  /** Reads also never return an older state than the session has read before. */
   Monotonic = 'monotonic',
 }
 
@@ -54,7 +57,7 @@
   readonly upstreams: readonly UpstreamSpec[];
   /** Connections that all hosts together may hold to one upstream. */
   readonly connectionsPerUpstream: number;
-  /** Age of data that a read accepts when it carries no mark of its own, milliseconds; 0 = no bound stated. */
+  /** Maximum age of data for reads that state none themselves, milliseconds; 0 means no bound. */
   readonly defaultMaxAgeMs: number;
   readonly acknowledgement: AcknowledgementKind;
   readonly sessionGuarantee: SessionGuarantee;
@@ -65,26 +68,29 @@
   readonly group: GroupId;
   readonly term: number;
   readonly phase: GroupPhase;
-  /** Primary of `term`; while fencing, the primary of the term before. */
+  /** Primary of `term`; while fencing, the primary of the previous term. */
   readonly primary: UpstreamId;
   readonly lineage: Lineage;
-  /** Identifies the attempt that wrote the record, so a lost reply can be settled by reading back. */
+  /**
+   * Id of the attempt that wrote the record; if a reply was lost, reading the record shows whether
+   * the write took effect.
+   */
   readonly attempt: string;
   readonly promoter: HostId;
 }
 
-/** How many of `members` form a majority. */
+/** Number of upstreams that form a majority of `members`. */
 export function majorityOf(members: number): number {
   return Math.floor(members / 2) + 1;
 }
 
-/** Orders two records of one group; positive when `a` is newer. */
+/** Compares two records of one group; positive if `a` is newer. */
 export function compareRecords(a: GroupRecord, b: GroupRecord): number {
   if (a.term !== b.term) return a.term - b.term;
   return PHASE_ORDER[a.phase] - PHASE_ORDER[b.phase];
 }
 
-/** Order in which the phases of one term follow each other. */
+/** Order of the phases within one term. */
 const PHASE_ORDER: Readonly<Record<GroupPhase, number>> = {
   [GroupPhase.Fencing]: 0,
   [GroupPhase.Serving]: 1,
--- a/packages/coordination/src/model/random.ts
+++ b/packages/coordination/src/model/random.ts
@@ -1,5 +1,5 @@
 /**
- * Seeded random numbers: every random choice takes a source, so that a run can be repeated.
+ * Seeded random numbers. Every random choice takes a source, so that a run is reproducible.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -14,7 +14,7 @@
   integer(low: number, high: number): number;
 }
 
-/** Reproducible source. */
+/** Reproducible source of random numbers. */
 export class SeededRandom implements RandomSource {
   private readonly generator;
 
--- a/packages/coordination/src/model/refusal.ts
+++ b/packages/coordination/src/model/refusal.ts
@@ -1,19 +1,20 @@
 /**
- * Reasons for which a request is refused or ends without a certain outcome, and what each says
- * about whether the request ran. The reason decides this, not the place that reports it.
+ * Reasons for which a request is refused or ends with an unknown outcome, and what each implies
+ * about whether the request ran. This depends on the reason alone, not on the component that
+ * reports it.
  */
 
-/** Whether the statement of a refused request took effect. */
+/** Whether the statement of a refused request was executed. */
 export enum ExecutionStatus {
-  /** It certainly did not run. */
+  /** It was not executed. */
   No = 'no',
-  /** It may have run; ask again with the same request id to learn. */
+  /** It may have been executed; a retry with the same request id shows whether it was. */
   Unknown = 'unknown',
-  /** It ran before, under the same request id. */
+  /** It was executed before under the same request id. */
   Yes = 'yes',
 }
 
-/** Closed set of refusal reasons; each is one label value of the refusal counter. */
+/** Closed set of refusal reasons; the values are labels of the refusal counter. */
 export enum RefusalReason {
   BadMarks = 'bad-marks',
   BadToken = 'bad-token',
@@ -57,13 +58,13 @@
   NoPermittedRegion = 'no-permitted-region',
 }
 
-/** What a refusal tells the caller. */
+/** What a refusal reports to the caller. */
 export interface RefusalRule {
   readonly ran: ExecutionStatus;
   /** SQLSTATE of the error, from Appendix A of the PostgreSQL manual. */
   readonly sqlState: string;
   readonly message: string;
-  /** Hint after how long a caller may ask again, milliseconds; 0 when asking again is useless. */
+  /** Delay after which the caller may retry, milliseconds; 0 if a retry can't succeed. */
   readonly retryAfterMs: number;
 }
 
@@ -293,26 +294,26 @@
   return { ran, sqlState, message, retryAfterMs };
 }
 
-/** A refusal as it travels from the place of decision to the caller. */
+/** A refusal as passed on from the component that decides to the caller. */
 export interface Refusal {
   readonly reason: RefusalReason;
-  /** What exactly was refused; empty when the reason says it all. */
+  /** What exactly was refused; empty if the reason is sufficient. */
   readonly detail: string;
-  /** When it is worth coming back, milliseconds from now; undefined where the reason's rule says it. */
+  /** Delay after which the caller may retry, milliseconds; undefined if the rule of the reason applies. */
   readonly retryAfterMs?: number;
 }
 
-/** Builds a refusal. */
+/** Creates a refusal. */
 export function refuse(reason: RefusalReason, detail = ''): Refusal {
   return { reason, detail };
 }
 
-/** Whether the request of this refusal took effect. */
+/** Whether the refused request was executed. */
 export function executionStatusOf(refusal: Refusal): ExecutionStatus {
   return REFUSAL_RULES[refusal.reason].ran;
 }
 
-/** When the caller of this refusal may ask again, milliseconds from now; 0 when that is useless. */
+/** Delay after which the caller may retry, milliseconds; 0 if a retry can't succeed. */
 export function retryAfterMsOf(refusal: Refusal): number {
   return refusal.retryAfterMs ?? REFUSAL_RULES[refusal.reason].retryAfterMs;
 }
--- a/packages/coordination/src/model/request-marks.ts
+++ b/packages/coordination/src/model/request-marks.ts
@@ -1,13 +1,13 @@
 /**
- * What a request says about itself, and the defaults when it says nothing.
+ * Marks: options that a caller sets on a request, and their defaults.
  */
 import type { RequestId } from './ids.js';
 
 /** Priority classes, most important first. */
 export enum Priority {
-  /** Writes whose confirmation people wait for: signatures, call outcomes. */
+  /** Writes whose confirmation a person waits for: signatures, call outcomes. */
   Outcome = 'outcome',
-  /** Interactive reads: scripts. */
+  /** Interactive reads, for example of scripts. */
   Interactive = 'interactive',
   /** Dashboards and reports. */
   Background = 'background',
@@ -15,15 +15,15 @@
 
 /** Marks of one request. */
 export interface RequestMarks {
-  /** Id under which the request runs at most once; undefined when it carries none. */
+  /** Id under which the request runs at most once; undefined if it has none. */
   readonly requestId: RequestId | undefined;
-  /** Whether the proxy may run it again after doubt. */
+  /** Whether the proxy may run it again if the outcome is unknown. */
   readonly repeatable: boolean;
-  /** Tolerated age of data, milliseconds; undefined when unstated. */
+  /** Maximum age of data, milliseconds; undefined if not stated. */
   readonly maxAgeMs: number | undefined;
-  /** Time allowed from arrival to answer, milliseconds; undefined takes the host's default. */
+  /** Time from arrival to answer, milliseconds; undefined for the host's default. */
   readonly deadlineMs: number | undefined;
-  /** Undefined takes the default of the statement's kind. */
+  /** Undefined for the default of the statement's kind. */
   readonly priority: Priority | undefined;
 }
 
--- a/packages/coordination/src/model/retry-reason.ts
+++ b/packages/coordination/src/model/retry-reason.ts
@@ -1,4 +1,4 @@
-/** Reasons for which the proxy itself tries a step again; label values of the retry counter. */
+/** Reasons for which the proxy itself retries a step; the values are labels of the retry counter. */
 export enum RetryReason {
   PeerUnreachable = 'peer-unreachable',
   StaleReplica = 'stale-replica',
--- a/packages/coordination/src/model/statement-types.ts
+++ b/packages/coordination/src/model/statement-types.ts
@@ -1,5 +1,5 @@
 /**
- * Closed sets of terms about statements, shared by every protocol.
+ * Properties of statements, shared by all protocols.
  */
 
 /** Whether a statement reads or writes. */
@@ -8,17 +8,17 @@
   Write = 'write',
 }
 
-/** Which commits a read has to see. */
+/** Consistency level: which commits a read has to see. */
 export enum Consistency {
   /** Every commit confirmed before the read began. */
   Primary = 'primary',
   /** Every commit older than the bound. */
   BoundedStaleness = 'bounded-staleness',
-  /** Every commit older than the bound, and all of the same session. */
+  /** Every commit older than the bound, and every commit of the same session. */
   ReadYourWrites = 'read-your-writes',
 }
 
-/** Errors that an upstream tells. */
+/** Errors reported by an upstream. */
 export enum UpstreamFault {
   Busy = 'busy',
   Lagging = 'lagging',
--- a/packages/coordination/src/model/upstream-report.ts
+++ b/packages/coordination/src/model/upstream-report.ts
@@ -1,10 +1,10 @@
 /**
- * What an upstream said about itself, and the board on which a home keeps the latest of each.
+ * Status reports of upstreams, and the health that a home derives from them.
  */
 import type { UpstreamId } from './ids.js';
 import type { Lineage, Position } from '../reads/position.js';
 
-/** Role that an upstream believes it has. */
+/** Role that an upstream assumes for itself. */
 export enum UpstreamRole {
   Primary = 'primary',
   Replica = 'replica',
@@ -14,41 +14,41 @@
 export interface UpstreamReport {
   readonly upstream: UpstreamId;
   readonly role: UpstreamRole;
-  /** Last position written durably to its log. */
+  /** Latest position written durably to its log. */
   readonly received: Position;
-  /** Last position visible to its readers. */
+  /** Latest position visible to its readers. */
   readonly applied: Position;
-  /** Highest term to which it has been fenced; it accepts no write of a lower one. */
+  /** Highest term at which it has been fenced; it accepts no write of a lower term. */
   readonly fencedTerm: number;
-  /** Terms that its log has gone through, its own last. */
+  /** Terms that its log contains, the current one last. */
   readonly lineage: Lineage;
-  /** Transactions open on it. */
+  /** Number of open transactions. */
   readonly openTransactions: number;
 }
 
-/** A report with the local times that bound it. */
+/** A report with the local times at which it was requested and received. */
 export interface TimedReport {
   readonly report: UpstreamReport;
-  /** When the query was sent, local milliseconds: the report can't be older than this. */
+  /** When the query was sent, local milliseconds; the report is not older than this. */
   readonly sentAt: number;
   /** When the answer arrived, local milliseconds. */
   readonly at: number;
 }
 
-/** State of the last exchanges with one upstream. */
+/** Result of the latest status queries to one upstream. */
 export interface UpstreamHealth {
-  /** Latest report; undefined until the first answer. */
+  /** Latest report; undefined before the first answer. */
   readonly last: TimedReport | undefined;
   /** Consecutive failed status queries. */
   readonly failures: number;
-  /** When the first of those failures happened, local milliseconds; 0 when there is none. */
+  /** When the first of those failures occurred, local milliseconds; 0 if there are none. */
   readonly failingSince: number;
 }
 
-/** Health of an upstream that has not been asked. */
+/** Health of an upstream that has not been queried yet. */
 export const UNKNOWN_HEALTH: UpstreamHealth = { last: undefined, failures: 0, failingSince: 0 };
 
-/** Health after an answer. Reports that were sent before the one held don't replace it. */
+/** Health after an answer. A report requested earlier than the current one does not replace it. */
 export function afterReport(health: UpstreamHealth, next: TimedReport): UpstreamHealth {
   const stale = health.last !== undefined && next.sentAt < health.last.sentAt;
   return { last: stale ? health.last : next, failures: 0, failingSince: 0 };
--- a/packages/coordination/src/model/workspace.ts
+++ b/packages/coordination/src/model/workspace.ts
@@ -1,55 +1,61 @@
 /**
- * Workspaces: which key opens which, and what an operation of a caller is admitted as.
+ * Workspaces: which key belongs to which, and how an operation of a caller is admitted.
  */
 import { createHash } from 'node:crypto';
 import type { RegionId, WorkspaceId } from './ids.js';
 
-/** What a workspace may use, over all hosts together. */
+/** Rate limit of a workspace over all hosts together. */
 export interface WorkspaceLimit {
-  /** Operations a second in the long run. */
+  /** Sustained rate, operations per second. */
   readonly ratePerS: number;
-  /** Operations that may come at once after a rest. */
+  /** Operations that may arrive at once after a period without any. */
   readonly burst: number;
 }
 
-/** A workspace as the operators configure it. */
+/** A workspace as configured by the operators. */
 export interface Workspace {
   readonly id: WorkspaceId;
-  /** Undefined where nothing is limited. */
+  /** Undefined if the workspace is not limited. */
   readonly limit: WorkspaceLimit | undefined;
-  /** Regions that its data may not leave; missing where it may be anywhere. */
+  /** Regions that its data may not leave; missing if it may be in any region. */
   readonly regions?: readonly RegionId[];
 }
 
 declare const keyHashBrand: unique symbol;
 
-/** Hash of a key; the key itself is kept nowhere and never logged. */
+/** Hash of a key. The key itself is never stored or logged. */
 export type KeyHash = string & { readonly [keyHashBrand]: true };
 
-/** Workspaces by the hashes of their keys; undefined where no keys are asked for. */
+/** Workspaces by the hashes of their keys; undefined if no keys are required. */
 export type WorkspaceKeys = ReadonlyMap<KeyHash, Workspace> | undefined;
 
-/** Hash of a caller's key. Looking up a hash tells nothing of the keys by the time that it takes. */
+/**
+ * Hashes a caller's key. Keys are looked up by hash, so that the time of a look-up reveals nothing
+ * about them.
+ */
 export function hashKey(key: string): KeyHash {
   return createHash('sha256').update(key).digest('base64') as KeyHash;
 }
 
-/** Whether keys go on to count on a host that can't learn of those taken away. */
+/** Validity of keys on a host that can't learn which keys have been revoked. */
 export interface KeyRules {
   /**
-   * Time after which a host that does not know its configuration to be the newest serves no key, milliseconds;
-   * undefined where keys count until their removal is known.
+   * Time after which a host that can't confirm that its configuration is the latest accepts no key,
+   * milliseconds; undefined if keys stay valid until the host learns of their revocation.
    */
   readonly unconfirmedTtlMs: number | undefined;
 }
 
-/** Whether keys count at `now` by a configuration that was surely the newest at `confirmedAt`. */
+/**
+ * Whether keys are valid at `now` under a configuration that was last confirmed as the latest at
+ * `confirmedAt`.
+ */
 export function areKeysValid(confirmedAt: number, now: number, rules: KeyRules): boolean {
   const { unconfirmedTtlMs } = rules;
   return unconfirmedTtlMs === undefined || now - confirmedAt <= unconfirmedTtlMs;
 }
 
-/** What an operation is admitted as. */
+/** Result of the admission of an operation. */
 export type Admission =
   /** It needs no key and belongs to no workspace. */
   | { readonly kind: 'open' }
@@ -59,7 +65,7 @@
 const OPEN: Admission = { kind: 'open' };
 const UNKNOWN_KEY: Admission = { kind: 'unknown-key' };
 
-/** Admits an operation on a route by the keys in force when it begins. */
+/** Admits an operation on a route by the keys in force when it starts. */
 export function admit(isPublic: boolean, keys: WorkspaceKeys, key: KeyHash): Admission {
   if (isPublic || keys === undefined) return OPEN;
   const workspace = keys.get(key);
