--- a/packages/coordination/src/placement/data-residency.ts
+++ b/packages/coordination/src/placement/data-residency.ts
@@ -1,14 +1,17 @@
 /**
- * Regions that the data of an operation may not leave: which upstreams may run it, and which hosts it
- * may be forwarded to.
+ * Data residency: the regions that the data of an operation may not leave determine which upstreams
+ * may run it and to which hosts it may be forwarded.
  */
 import type { AzId, RegionId } from '../model/ids.js';
 import type { Topology } from './topology.js';
 
-/** Regions that data may be in; undefined where it may be anywhere, empty where it may be nowhere. */
+/** Regions that data may be in; undefined means any region, empty means none. */
 export type PermittedRegions = readonly RegionId[] | undefined;
 
-/** Regions that an operation may use by its route and its workspace; where both bind, both count. */
+/**
+ * Regions permitted to an operation by its route and its workspace; the intersection if both
+ * restrict them.
+ */
 export function permittedRegions(
   ofRoute: PermittedRegions,
   ofWorkspace: PermittedRegions,
@@ -18,7 +21,7 @@
   return ofRoute.filter((region) => ofWorkspace.includes(region));
 }
 
-/** Whether a zone lies in a permitted region; one whose region is not told lies in none. */
+/** Whether a zone is in a permitted region; a zone whose region is unknown is in none. */
 export function isPermitted(az: AzId, permitted: PermittedRegions, topology: Topology): boolean {
   if (permitted === undefined) return true;
   const region = topology.regionOf(az);
--- a/packages/coordination/src/placement/evacuation.ts
+++ b/packages/coordination/src/placement/evacuation.ts
@@ -1,30 +1,32 @@
 /**
- * Evacuation of an availability zone: which work its upstreams still take while the operators want
- * them out of use, counted from when the request may have been stored.
+ * Evacuation of an availability zone: which work its upstreams still accept after the operators
+ * have requested to take them out of use, counted from the earliest time at which the request may
+ * have been stored.
  */
 
-/** How far the evacuation of a zone has come on one host. */
+/** Stage of the evacuation of a zone on one host. */
 export enum EvacuationStage {
   /** The zone is in use. */
   None = 'none',
-  /** A primary in it serves until it is replaced; open transactions go on. */
+  /** A primary in the zone serves until it is replaced; open transactions continue. */
   Leaving = 'leaving',
-  /** Nothing is sent to its upstreams any more. */
+  /** Nothing is sent to its upstreams. */
   Evacuated = 'over',
 }
 
 /**
- * Part of the time for an evacuation in which primaries and open transactions of the zone go on. A usual
- * planned change takes well under half of that time; the rest covers hosts that learn of the request
- * late and statements that are on their way.
+ * Share of the evacuation time during which primaries and open transactions of the zone continue. A
+ * usual planned change takes well under half of that time; the rest covers hosts that learn of the
+ * request late and statements in flight.
  */
 const EVACUATION_LEAVING_SHARE = 0.5;
 
 /**
  * Stage of a zone's evacuation at `now`.
  *
- * @param lastInUseAt latest local time at which the zone was surely not evacuated; undefined while it is not
- * @param evacuationMs time after the request within which all work has to end, milliseconds
+ * @param lastInUseAt latest local time at which the zone was certainly not evacuated; undefined
+ * while it is in use
+ * @param evacuationMs time after the request by which all work has to end, milliseconds
  */
 export function evacuationStage(
   lastInUseAt: number | undefined,
@@ -37,7 +39,8 @@
 }
 
 /**
- * Whether an upstream takes new work. While its zone is being left, only a primary that another one can replace does.
+ * Whether an upstream accepts new work. While its zone is in stage Leaving, only a primary that
+ * another upstream can replace does.
  *
  * @param isReplaceablePrimary whether it is the primary of a group with upstreams in other zones
  */
--- a/packages/coordination/src/placement/homes.ts
+++ b/packages/coordination/src/placement/homes.ts
@@ -1,9 +1,10 @@
 /**
  * Which hosts of a zone hold the connections of a group (its homes), and how many each may hold.
  *
- * A zone's part of an upstream's budget is cut into one slot for each home and one reserve slot.
- * A host that becomes a home works from its slice of the reserve until the former holder of its
- * slot has surely given up, so the sum stays within the zone's part while both believe to hold it.
+ * A zone's share of an upstream's connections is divided into one slot per home and one reserve
+ * slot. A host that becomes a home uses its part of the reserve until the former holder of its slot
+ * has certainly released it, so the sum stays within the zone's share while both consider
+ * themselves holders.
  */
 import type { GroupSpec } from '../model/group.js';
 import type { AzId, GroupId, HostId } from '../model/ids.js';
@@ -34,29 +35,37 @@
   return even + (index < remainder ? 1 : 0);
 }
 
-/** How long a host has held a home. */
+/** How long a host has been a home of a group. */
 export interface HomeTenure {
   /** When this host became a home of the group, local milliseconds. */
   readonly since: number;
-  /** Whether the former holder of the slot gave it up by message, or there was none. */
+  /** Whether the former holder of the slot released it by message, or there was none. */
   readonly handedOver: boolean;
 }
 
-/** Least part of a zone with two homes: a slot for each and a reserve for two successors. */
+/** Minimum share of a zone with two homes: a slot for each and a reserve for two successors. */
 export const MIN_ZONE_SHARE = 4;
 
-/** Bounds of the split. */
+/** Parameters of the division into slots. */
 export interface SlotRules {
   readonly homesPerGroup: number;
-  /** Time after which a host that lost its home has surely given its connections back, milliseconds. */
+  /**
+   * Time after which a host that is no longer a home has certainly released its connections,
+   * milliseconds.
+   */
   readonly releaseTimeoutMs: number;
 }
 
 /** Connections to each upstream that one home may hold at `now`. */
-export function homeShare(part: number, tenure: HomeTenure, rules: SlotRules, now: number): number {
+export function homeShare(
+  share: number,
+  tenure: HomeTenure,
+  rules: SlotRules,
+  now: number,
+): number {
   const { homesPerGroup, releaseTimeoutMs } = rules;
-  const reserve = Math.max(homesPerGroup, Math.floor(part / (homesPerGroup + 1)));
-  const slot = Math.max(1, Math.floor((part - reserve) / homesPerGroup));
-  const settled = tenure.handedOver || now - tenure.since >= releaseTimeoutMs;
-  return settled ? slot : Math.min(slot, Math.floor(reserve / homesPerGroup));
+  const reserve = Math.max(homesPerGroup, Math.floor(share / (homesPerGroup + 1)));
+  const slotShare = Math.max(1, Math.floor((share - reserve) / homesPerGroup));
+  const isReleased = tenure.handedOver || now - tenure.since >= releaseTimeoutMs;
+  return isReleased ? slotShare : Math.min(slotShare, Math.floor(reserve / homesPerGroup));
 }
--- a/packages/coordination/src/placement/near-homes.ts
+++ b/packages/coordination/src/placement/near-homes.ts
@@ -1,11 +1,13 @@
 /**
- * Homes of a group that stand in the zones of its upstreams, and how the connections to each upstream are
- * split over them: most to the homes of its own zone, by way of which the others reach it.
+ * Homes of a group in the zones of its upstreams, and how the connections to each upstream are
+ * divided among them: most go to the homes of its own zone, through which the other homes reach it.
  *
- * Load patterns: (1) zones lie in several regions, and each statement of a transaction holds its connection
- * for a round trip between them; split evenly over the homes of all zones, two connections each, transactions
- * from afar hold them all while others wait. (2) Connections serve one workspace each, and workspaces are
- * several times the connections of a home; split evenly over the zones, most operations open one.
+ * Load patterns: (1) zones are in several regions, and each statement of a transaction occupies its
+ * connection for a round trip between them. If connections were divided evenly among the homes of
+ * all zones, two each, transactions from other regions would occupy all of them while others wait.
+ * (2) Each connection is dedicated to one workspace, and there are several times as many workspaces
+ * as connections of a home. If connections were divided evenly among the zones, most operations
+ * would have to open one.
  */
 import { Distance } from './topology.js';
 import type { Topology } from './topology.js';
@@ -14,16 +16,22 @@
 import type { AzId, GroupId, HostId } from '../model/ids.js';
 import { rankCandidates } from './rendezvous.js';
 
-/** Homes of a group in each zone of its upstreams: one serves while the other restarts. */
+/** Number of homes of a group in each zone of its upstreams: one serves while the other restarts. */
 const HOMES_PER_ZONE = 2;
-/** The same where connections serve one workspace each: two would each open one for a workspace. */
+/**
+ * The same if each connection is dedicated to one workspace: two homes would each open one for the
+ * same workspace.
+ */
 const DEDICATED_HOMES_PER_ZONE = 1;
-/** Connections of a home to an upstream of another region at least: one transaction and one read. */
-const LEAST_FAR_CONNECTIONS = 2;
 /**
- * How the connections of an upstream are split: a home of its zone gets three times those of a home of
- * another zone of the region, which uses them only while its own upstream is behind or gone. Those of
- * other regions have connections apart.
+ * Minimum number of connections of a home to an upstream of another region: one transaction and one
+ * read.
+ */
+const MIN_FAR_CONNECTIONS = 2;
+/**
+ * Weights by which the connections of an upstream are divided: a home of its zone gets three times
+ * as many as a home of another zone of the region, which uses them only while its own upstream lags
+ * or is gone. Homes of other regions have separate connections.
  */
 const WEIGHTS: Readonly<Record<Distance, number>> = {
   [Distance.SameZone]: 3,
@@ -31,7 +39,7 @@
   [Distance.OtherRegion]: 0,
 };
 
-/** What a plan is made from. */
+/** Input of a plan. */
 export interface NearHomesInput {
   readonly group: GroupId;
   /** Zones of the group's upstreams. */
@@ -39,31 +47,33 @@
   /** Connections to one upstream that all homes may hold together. */
   readonly usable: number;
   /**
-   * Further ones for homes of other regions. While the replicas of a region are behind, its homes read at
-   * the far primary: with two connections each, 0.6 % of all requests were refused for want of one (one
-   * minute, 61 hosts, two of 18 replicas behind for 6 s).
+   * Additional ones for homes of other regions. While the replicas of a region lag, its homes read
+   * at the primary in another region: with two connections each, 0.6 % of all requests were refused
+   * for lack of a connection (one minute, 61 hosts, two of 18 replicas lagging for 6 s).
    */
   readonly farUsable: number;
-  /** Whether connections serve one workspace each. */
+  /** Whether each connection is dedicated to one workspace. */
   readonly isDedicated: boolean;
 }
 
 /** Plans the homes of a group near its upstreams; every host computes the same plan. */
 export function planNearHomes(
-  near: NearHomesInput,
+  input: NearHomesInput,
   zones: ReadonlyMap<AzId, readonly HostId[]>,
   topology: Topology,
 ): HomePlan {
-  const { group, upstreamZones, isDedicated } = near;
+  const { group, upstreamZones, isDedicated } = input;
   const perZone = isDedicated ? DEDICATED_HOMES_PER_ZONE : HOMES_PER_ZONE;
   const homes = new Map<AzId, readonly HostId[]>();
   for (const [az, hosts] of zones) {
     if (upstreamZones.has(az)) homes.set(az, homesOf(group, hosts, perZone));
   }
-  const shares = new Map([...upstreamZones].map((az) => [az, sharesOf(az, homes, topology, near)]));
+  const shares = new Map(
+    [...upstreamZones].map((az) => [az, sharesOf(az, homes, topology, input)]),
+  );
   return {
     homes,
-    connectionsPerHome: LEAST_FAR_CONNECTIONS,
+    connectionsPerHome: MIN_FAR_CONNECTIONS,
     isDedicated,
     shares,
   };
@@ -85,13 +95,13 @@
   for (const zone of homes.keys()) {
     const weight = weightOf(zone);
     const near = Math.floor((usable * weight) / Math.max(1, weights));
-    const part = weight === 0 ? Math.floor(farUsable / farHomes) : near;
-    shares.set(zone, Math.max(LEAST_FAR_CONNECTIONS, part));
+    const share = weight === 0 ? Math.floor(farUsable / farHomes) : near;
+    shares.set(zone, Math.max(MIN_FAR_CONNECTIONS, share));
   }
   return shares;
 }
 
-/** Whether homes stand only in the zones of the upstreams, and other hosts forward to them. */
+/** Whether homes are only in the zones of the upstreams, and other hosts forward to them. */
 export function isNearUpstreams(plan: HomePlan): boolean {
   return plan.shares !== undefined;
 }
@@ -101,7 +111,7 @@
   return plan.shares?.get(upstreamAz)?.get(homeAz) ?? plan.connectionsPerHome;
 }
 
-/** Homes of all zones in the order in which `asker` asks them for work that is done in or near `az`. */
+/** Homes of all zones in the order in which `asker` asks them for work in or near `az`. */
 export function homesNear(
   plan: HomePlan,
   az: AzId,
--- a/packages/coordination/src/placement/rendezvous.ts
+++ b/packages/coordination/src/placement/rendezvous.ts
@@ -1,6 +1,6 @@
 /**
- * Rendezvous (highest random weight) hashing: every host ranks the candidates of a key alike
- * without exchanging a message, and the loss of one candidate moves only that candidate's keys.
+ * Rendezvous (highest random weight) hashing: all hosts rank the candidates of a key identically
+ * without exchanging messages, and the loss of a candidate moves only the keys of that candidate.
  */
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
@@ -9,11 +9,11 @@
 
 /** FNV-1a over UTF-16 units with the finalizer of MurmurHash3; unsigned 32 bits. */
 export function hash32(text: string): number {
-  return finished(absorb(FNV_OFFSET, text));
+  return finalizeHash(updateHash(FNV_OFFSET, text));
 }
 
-/** State of the hash after `text`, begun with `state`; what many texts begin with is hashed once. */
-function absorb(state: number, text: string): number {
+/** State of the hash after `text`, starting from `state`, so that a common prefix is hashed only once. */
+function updateHash(state: number, text: string): number {
   let hash = state;
   for (let i = 0; i < text.length; i += 1) {
     hash = Math.imul(hash ^ text.charCodeAt(i), FNV_PRIME);
@@ -21,7 +21,7 @@
   return hash;
 }
 
-function finished(state: number): number {
+function finalizeHash(state: number): number {
   let hash = Math.imul(state ^ (state >>> 16), MIX_A);
   hash = Math.imul(hash ^ (hash >>> 13), MIX_B);
   return (hash ^ (hash >>> 16)) >>> 0;
@@ -40,7 +40,10 @@
   return weighted.map((entry) => entry.id);
 }
 
-/** The `count` preferred candidates of `key`; picked without ranking them all, since hosts are many. */
+/**
+ * The `count` most preferred candidates of `key`; selected without sorting all, since there may be
+ * many hosts.
+ */
 export function topCandidates<Id extends string>(
   key: string,
   candidates: readonly Id[],
@@ -57,8 +60,8 @@
 }
 
 function weigh<Id extends string>(key: string, candidates: readonly Id[]): Weighted<Id>[] {
-  const begun = absorb(FNV_OFFSET, `${key}|`);
-  return candidates.map((id) => ({ id, weight: finished(absorb(begun, id)) }));
+  const prefixState = updateHash(FNV_OFFSET, `${key}|`);
+  return candidates.map((id) => ({ id, weight: finalizeHash(updateHash(prefixState, id)) }));
 }
 
 function byPreference(a: Weighted<string>, b: Weighted<string>): number {
--- a/packages/coordination/src/placement/topology.ts
+++ b/packages/coordination/src/placement/topology.ts
@@ -1,16 +1,16 @@
 /**
- * Where availability zones lie: which region each belongs to, and how far apart two of them are.
+ * Topology of the availability zones: the region of each zone and the distance between zones.
  */
 import type { AzId, RegionId } from '../model/ids.js';
 
-/** How far apart two zones are; what is nearer costs less time and fewer dear bytes. */
+/** Distance between two zones; nearer zones have less latency and cheaper traffic. */
 export enum Distance {
   SameZone = 0,
   SameRegion = 1,
   OtherRegion = 2,
 }
 
-/** The zones of a deployment as the settings tell them. */
+/** The zones of a deployment according to the settings. */
 export class Topology {
   /** Names of the regions, sorted. */
   readonly regions: readonly RegionId[];
@@ -19,17 +19,17 @@
     this.regions = [...new Set(regionOfZone.values())].sort();
   }
 
-  /** Whether zones lie in more than one region. */
+  /** Whether there is more than one region. */
   get isMultiRegion(): boolean {
     return this.regions.length > 1;
   }
 
-  /** Region of a zone; undefined where the settings don't tell. */
+  /** Region of a zone; undefined if the settings do not state it. */
   regionOf(az: AzId): RegionId | undefined {
     return this.regionOfZone.get(az);
   }
 
-  /** Distance of two zones; a zone whose region is not told counts as one of the same region. */
+  /** Distance between two zones; a zone whose region is unknown counts as being in the same region. */
   distance(from: AzId, to: AzId): Distance {
     if (from === to) return Distance.SameZone;
     const region = this.regionOf(from);
@@ -39,5 +39,5 @@
   }
 }
 
-/** Topology of a deployment whose settings tell no regions. */
+/** Topology of a deployment whose settings state no regions. */
 export const SINGLE_REGION = new Topology(new Map());
--- a/packages/coordination/src/reads/position.ts
+++ b/packages/coordination/src/reads/position.ts
@@ -2,7 +2,7 @@
  * Positions in a group's replicated log and the lineage that relates positions of different terms.
  */
 
-/** A point in a group's log. Offsets are only comparable inside one term or through a lineage. */
+/** A point in a group's log. Offsets are comparable only within one term or through a lineage. */
 export interface Position {
   /** Term under which the log stood at this offset; grows with each promotion. */
   readonly term: number;
@@ -10,7 +10,7 @@
   readonly offset: number;
 }
 
-/** Where a term began: every entry at or below `start` is shared with the terms before it. */
+/** Start of a term: every log entry at or below `start` is shared with the preceding terms. */
 export interface LineageEntry {
   readonly term: number;
   /** Offset of the log at the promotion that opened the term. */
@@ -23,13 +23,13 @@
 /** The position before any write. */
 export const ORIGIN: Position = { term: 0, offset: 0 };
 
-/** Orders by term, then offset: the order by which a promotion chooses. */
+/** Compares by term, then by offset, as a promotion does when it chooses a log. */
 export function comparePositions(a: Position, b: Position): number {
   if (a.term !== b.term) return a.term - b.term;
   return a.offset - b.offset;
 }
 
-/** A position as log lines show it: term, point, offset. */
+/** Formats a position for log lines as TERM.OFFSET. */
 export function formatPosition({ term, offset }: Position): string {
   return `${term}.${offset}`;
 }
@@ -50,11 +50,11 @@
 }
 
 /**
- * Tells whether a log at `held` contains `wanted`.
+ * Determines whether a log at `held` contains `wanted`.
  *
- * A later term contains an earlier position only when every promotion after the position's term
- * started at or past it; otherwise the position was discarded. A log whose term the lineage does
- * not list can't be related and counts as behind.
+ * A later term contains an earlier position only if every promotion after the position's term
+ * started at or after it; otherwise the position was discarded. A log whose term is not in the
+ * lineage can't be compared and counts as behind.
  *
  * An upstream reports a term only once its log reaches that term's start, as a PostgreSQL standby
  * switches its timeline at the switch point.
@@ -67,14 +67,14 @@
   return held.offset >= wanted.offset ? Coverage.Covered : Coverage.Behind;
 }
 
-/** Tells whether the lineage left `position` behind. */
+/** Whether the lineage has discarded `position`. */
 export function isDiscarded(position: Position, lineage: Lineage): boolean {
   return discardingTerm(position, lineage) !== undefined;
 }
 
 /**
- * First term of the lineage that left `position` behind: it began before the position, or the
- * position's own term is no part of the lineage although later ones are.
+ * First term of the lineage that discarded `position`: it started before the position, or the term
+ * of the position is not part of the lineage although later terms are.
  */
 export function discardingTerm(position: Position, lineage: Lineage): number | undefined {
   const isPart = position.offset === 0 || lineage.some((entry) => entry.term === position.term);
@@ -84,8 +84,8 @@
 }
 
 /**
- * Offset up to which logs of two lineages are surely the same. A log that has to follow another
- * lineage is cut to it.
+ * Offset up to which logs of two lineages are certainly identical. A log that has to follow another
+ * lineage is truncated to this offset.
  */
 export function sharedPrefix(own: Lineage, other: Lineage): number {
   for (const [index, entry] of own.entries()) {
@@ -98,12 +98,12 @@
   return other[own.length]?.start ?? Number.POSITIVE_INFINITY;
 }
 
-/** Latest term that a lineage lists; 0 when it is empty. */
+/** Latest term of a lineage; 0 if it is empty. */
 export function lastTerm(lineage: Lineage): number {
   return lineage.at(-1)?.term ?? 0;
 }
 
-/** Term that a log of this lineage has reached at `offset`. */
+/** Term of a log of this lineage at `offset`. */
 export function termAt(lineage: Lineage, offset: number): number {
   return lineage.findLast((entry) => entry.start <= offset)?.term ?? 0;
 }
--- a/packages/coordination/src/reads/read-routing.ts
+++ b/packages/coordination/src/reads/read-routing.ts
@@ -1,6 +1,7 @@
 /**
- * Chooses the upstream that serves a read: one that covers the session's position and is as fresh
- * as the read asks, replicas before the primary, near before far, without herding.
+ * Chooses the upstream that serves a read: one that contains the session's position and is as fresh
+ * as the read requires. Replicas are preferred over the primary and near upstreams over far ones,
+ * and load is spread to avoid herding.
  */
 import type { GroupRecord, GroupSpec, UpstreamSpec } from '../model/group.js';
 import { UpstreamState } from '../model/group.js';
@@ -11,31 +12,34 @@
 import { RefusalReason } from '../model/refusal.js';
 import type { UpstreamHealth } from '../model/upstream-report.js';
 
-/** Health of an upstream together with what the home measured about it. */
+/** Health of an upstream together with the measurements of the home. */
 export interface UpstreamView {
   readonly spec: UpstreamSpec;
   readonly health: UpstreamHealth;
-  /** Requests that this home has in flight on it. */
+  /** Number of requests that this home has in flight on it. */
   readonly inFlight: number;
   /** Apply rate in log offsets per millisecond; 0 while unknown. */
   readonly applyRate: number;
-  /** Age of its data proved without synchronized clocks, milliseconds; Infinity while unproved. */
+  /**
+   * Upper bound of the age of its data, proved without synchronized clocks, milliseconds; Infinity
+   * while unproved.
+   */
   readonly ageMs: number;
 }
 
-/** What a read needs. */
+/** Requirements of a read. */
 export interface ReadRequirements {
-  /** What the session has seen of the group. */
+  /** Position of the group that the session has seen. */
   readonly floor: Position;
-  /** The session is resumed but brought no token: only the primary proves freshness. */
+  /** Whether the session is resumed without a token; then only the primary is certainly fresh enough. */
   readonly barrier: boolean;
-  /** Tolerated age of data, milliseconds; undefined when the read states none. */
+  /** Maximum age of data, milliseconds; undefined if the read states none. */
   readonly maxAgeMs: number | undefined;
-  /** Longest wait for a replica about to cover, milliseconds. */
+  /** Longest wait for a replica that is about to reach the required position, milliseconds. */
   readonly maxWaitMs: number;
 }
 
-/** What the choice rests on. */
+/** Input of the choice. */
 export interface ReadInput {
   readonly spec: GroupSpec;
   readonly record: GroupRecord;
@@ -52,17 +56,20 @@
   | { readonly kind: 'wait'; readonly forMs: number }
   | { readonly kind: 'refuse'; readonly reason: RefusalReason };
 
-/** A policy that routes reads. */
+/** Policy that routes reads. */
 export interface ReadRouting {
   choose(input: ReadInput, random: RandomSource): ReadChoice;
 }
 
-/** Consecutive failed status queries after which an upstream is not chosen. */
+/** Number of consecutive failed status queries after which an upstream is not chosen. */
 export const FAILURE_THRESHOLD = 2;
 /** Shortest useful wait for a replica, milliseconds. */
 const MIN_WAIT_MS = 1;
 
-/** Covering replica near, covering replica far, short wait, primary last. */
+/**
+ * Prefers a near replica that contains the required position, then a far one, then a short wait,
+ * then the primary.
+ */
 export class CoveringReplicaRouting implements ReadRouting {
   choose(input: ReadInput, random: RandomSource): ReadChoice {
     const { requirements, record } = input;
@@ -80,7 +87,7 @@
   }
 }
 
-/** Sends every read to the primary: the baseline. */
+/** Sends every read to the primary; serves as a baseline. */
 export class PrimaryRouting implements ReadRouting {
   choose(input: ReadInput): ReadChoice {
     const usable = input.views.filter((view) => isUsable(view, input.tried));
@@ -107,7 +114,7 @@
   return near.length > 0 ? near : views;
 }
 
-/** Compares two candidates drawn at random, which keeps many homes from herding onto one replica. */
+/** Compares two random candidates, so that many homes do not all choose the same replica. */
 function pickLeastBusy(
   views: readonly UpstreamView[],
   random: RandomSource,
@@ -119,7 +126,7 @@
   return first.inFlight <= second.inFlight ? first : second;
 }
 
-/** Expected wait until the first replica covers the floor, if it lies within the bound. */
+/** Expected wait until the first replica reaches the floor; undefined if it exceeds the bound. */
 function shortestWait(replicas: readonly UpstreamView[], input: ReadInput): number | undefined {
   const { requirements, record } = input;
   let best: number | undefined;
@@ -138,7 +145,7 @@
 function primaryOrRefuse(usable: readonly UpstreamView[], input: ReadInput): ReadChoice {
   const primary = usable.find((view) => view.spec.id === input.record.primary);
   if (primary !== undefined) return { kind: 'use', upstream: primary.spec.id, isPrimary: true };
-  const stale = input.requirements.maxAgeMs !== undefined;
-  const reason = stale ? RefusalReason.TooStale : RefusalReason.NoCoveringUpstream;
+  const isBounded = input.requirements.maxAgeMs !== undefined;
+  const reason = isBounded ? RefusalReason.TooStale : RefusalReason.NoCoveringUpstream;
   return { kind: 'refuse', reason };
 }
--- a/packages/coordination/src/reads/upstream-choice.ts
+++ b/packages/coordination/src/reads/upstream-choice.ts
@@ -1,53 +1,56 @@
 /**
- * Which upstream serves a read: the nearest that serves it in comfort, else the one with the least
- * expected time; the primary at a surcharge. Where connections serve one workspace each, one goes
- * first that has a free connection of the read's workspace, and next one that has room for another.
+ * Chooses the upstream that serves a read: the nearest one whose expected time is well within the
+ * target latency, else the one with the lowest expected time, with a surcharge for the primary. If
+ * each connection is dedicated to one workspace, upstreams with a free connection of the read's
+ * workspace come first, then those to which another connection may be opened.
  */
 import type { UpstreamId } from '../model/ids.js';
 import type { RandomSource } from '../model/random.js';
 import { Distance } from '../placement/topology.js';
 
-/** What a home has for a workspace at an upstream. */
+/** Connections that a home has available for a workspace at an upstream. */
 export enum ConnectionAvailability {
-  /** A free connection. */
+  /** A connection is free. */
   Ready = 'ready',
-  /** Room to open one. */
+  /** Another connection may be opened. */
   CanOpen = 'room',
-  /** Neither; a connection of another workspace would have to be closed. */
+  /** Neither: a connection of another workspace would have to be closed first. */
   Full = 'full',
 }
 
-/** What a home knows of an upstream when it chooses. */
+/** Load of an upstream as known to the choosing home. */
 export interface UpstreamLoad {
   readonly id: UpstreamId;
   readonly isPrimary: boolean;
   /** Distance from the zone of the choosing host. */
   readonly distance: Distance;
-  /** Statements of this home that are at the upstream or wait for a connection to it. */
+  /** Number of this home's statements that run on the upstream or wait for a connection to it. */
   readonly inFlight: number;
-  /** Moving average of the time of an answer, milliseconds. */
+  /** Moving average of the response time, milliseconds. */
   readonly meanMs: number;
-  /** What is there for the read's workspace; ready where connections serve everybody. */
+  /** Connections available for the read's workspace; Ready if connections are shared. */
   readonly availability: ConnectionAvailability;
-  /** Until when the upstream is to be avoided (lagging, busy, failing), local milliseconds. */
+  /** Local time until which the upstream is avoided (lagging, busy, failing), milliseconds. */
   readonly avoidUntil: number;
 }
 
-/** A read costs this much more at the primary, which also has all writes to do. */
+/** Cost factor of a read at the primary, which also has to execute all writes. */
 const PRIMARY_SURCHARGE = 2;
 /**
- * Part of an operation's target latency that a near upstream may be expected to take while a far one
- * would be faster. Up to here the caller gains nothing from the faster answer, and bytes between
- * zones are dear; a near upstream whose queue grows passes this long before its answers are late.
+ * Share of an operation's target latency up to which a near upstream is chosen although a far one
+ * would be faster. Within it the caller gains nothing from a faster answer, and traffic between
+ * zones is expensive; a near upstream whose queue grows exceeds it long before its answers are
+ * late.
  */
-const COMFORT_SHARE = 0.25;
-/** Width of the random factor that spreads hosts over equal upstreams. */
-const SPREAD = 0.2;
+const NEAR_LATENCY_SHARE = 0.25;
+/** Range of the random factor that spreads hosts over equal upstreams. */
+const JITTER = 0.2;
 
 /**
- * Upstream for a read of an operation with the given target latency (milliseconds), among those not
- * to be avoided: the fastest of the own zone if that is comfortable, else of the own region, else the
- * fastest of all. If all are to be avoided, the one whose time of avoidance ends first.
+ * Chooses the upstream for a read of an operation with the given target latency (milliseconds)
+ * among those that are not avoided: the fastest in the same zone if it is fast enough for the
+ * target, else in the same region, else the fastest of all. If all are avoided, chooses the one
+ * that is avoided for the shortest time.
  */
 export function chooseUpstream(
   loads: readonly UpstreamLoad[],
@@ -55,24 +58,29 @@
   now: number,
   random: RandomSource,
 ): UpstreamId | undefined {
-  const open = loads.filter((load) => load.avoidUntil <= now);
-  if (open.length === 0) return leastBy(loads, (load) => load.avoidUntil);
-  const comfortMs = targetLatencyMs * COMFORT_SHARE;
-  const comfortable = open.filter((load) => expectedMs(load) <= comfortMs);
+  const eligible = loads.filter((load) => load.avoidUntil <= now);
+  if (eligible.length === 0) return minBy(loads, (load) => load.avoidUntil);
+  const nearLatencyMs = targetLatencyMs * NEAR_LATENCY_SHARE;
+  const fastEnough = eligible.filter((load) => expectedMs(load) <= nearLatencyMs);
   const within = (most: Distance): readonly UpstreamLoad[] =>
-    reusable(comfortable).filter((load) => load.distance <= most);
-  const choices = [within(Distance.SameZone), within(Distance.SameRegion), reusable(comfortable)];
-  const candidates = choices.find((loads) => loads.length > 0) ?? open;
-  return leastBy(candidates, (load) => expectedMs(load) * (1 + SPREAD * random.unit()));
+    bestAvailable(fastEnough).filter((load) => load.distance <= most);
+  const choices = [
+    within(Distance.SameZone),
+    within(Distance.SameRegion),
+    bestAvailable(fastEnough),
+  ];
+  const candidates = choices.find((loads) => loads.length > 0) ?? eligible;
+  return minBy(candidates, (load) => expectedMs(load) * (1 + JITTER * random.unit()));
 }
 
 /**
- * Those with the best reuse. Opening a connection takes the time of a short statement at the upstream, and
- * another workspace needs the one that is closed for it soon again.
+ * The upstreams with the best connection availability. Opening a connection takes the upstream as
+ * long as a short statement, and if another workspace's connection is closed for it, that workspace
+ * will soon need it again.
  */
-function reusable(loads: readonly UpstreamLoad[]): readonly UpstreamLoad[] {
-  for (const reuse of [ConnectionAvailability.Ready, ConnectionAvailability.CanOpen]) {
-    const found = loads.filter((load) => load.availability === reuse);
+function bestAvailable(loads: readonly UpstreamLoad[]): readonly UpstreamLoad[] {
+  for (const availability of [ConnectionAvailability.Ready, ConnectionAvailability.CanOpen]) {
+    const found = loads.filter((load) => load.availability === availability);
     if (found.length > 0) return found;
   }
   return loads;
@@ -83,7 +91,7 @@
   return load.meanMs * (1 + load.inFlight) * surcharge;
 }
 
-function leastBy(
+function minBy(
   loads: readonly UpstreamLoad[],
   costOf: (load: UpstreamLoad) => number,
 ): UpstreamId | undefined {
--- a/packages/coordination/src/reads/watermark-log.ts
+++ b/packages/coordination/src/reads/watermark-log.ts
@@ -1,72 +1,74 @@
 /**
- * Marks of one group's primary: "when asked at local time t, it stood at position p". A replica that
- * holds p shows nothing older than t, so a read may run behind the oldest mark that is young enough
- * for it: the older the mark, the more replicas hold it.
+ * Watermarks of one group's primary. A watermark states that the primary, when queried at local
+ * time t, was at position p. A replica that contains p shows no state older than t, so a read may
+ * run on any replica that contains the oldest watermark that is recent enough for it: the older the
+ * watermark, the more replicas contain it.
  */
 import type { Position } from './position.js';
 import { comparePositions, maxPosition } from './position.js';
 import type { PrimaryWatermark } from './watermarks.js';
 
-/** Least distance between two marks kept, milliseconds; far below every staleness bound in use. */
+/** Minimum interval between two watermarks kept, milliseconds; far below every staleness bound in use. */
 const SPACING_MS = 20;
-/** Marks older than this are dropped, milliseconds; no read accepts older data. */
-const KEEP_MS = 10_000;
+/** Age from which watermarks are dropped, milliseconds; no read accepts older data. */
+const TTL_MS = 10_000;
 
-/** Marks taken under one epoch, oldest first. */
+/** Watermarks taken under one epoch, oldest first. */
 export class WatermarkLog {
-  private marks: PrimaryWatermark[] = [];
-  private furthest: Position | undefined;
+  private entries: PrimaryWatermark[] = [];
+  private highestPosition: Position | undefined;
 
   constructor(private epoch = 0) {}
 
-  /** Newest mark, if any. */
+  /** Latest watermark, if any. */
   get newest(): PrimaryWatermark | undefined {
-    return this.marks.at(-1);
+    return this.entries.at(-1);
   }
 
-  /** Furthest position that an answer has told; under one epoch the primary never goes back behind it. */
+  /** Highest position reported in an answer; within one epoch the primary never falls behind it. */
   get highest(): Position | undefined {
-    return this.furthest;
+    return this.highestPosition;
   }
 
-  /** Epoch under which the marks were taken. */
+  /** Epoch under which the watermarks were taken. */
   get currentEpoch(): number {
     return this.epoch;
   }
 
-  /** Starts anew when a new epoch serves; marks of the former one bind nobody any more. */
+  /** Discards the watermarks when a new epoch serves; those of the previous one are no longer binding. */
   startEpoch(epoch: number): void {
     if (epoch <= this.epoch) return;
     this.epoch = epoch;
-    this.marks = [];
-    this.furthest = undefined;
+    this.entries = [];
+    this.highestPosition = undefined;
   }
 
-  /** Notes an answer of the primary to a question sent at `mark.sentAt`. */
-  add(mark: PrimaryWatermark): void {
-    this.furthest = maxPosition(this.furthest ?? mark.position, mark.position);
-    const last = this.marks.at(-1);
-    if (last !== undefined && mark.sentAt - last.sentAt < SPACING_MS) return;
-    this.marks.push(mark);
-    while ((this.marks[0]?.sentAt ?? mark.sentAt) < mark.sentAt - KEEP_MS) this.marks.shift();
+  /** Records an answer of the primary to a query sent at `next.sentAt`. */
+  add(next: PrimaryWatermark): void {
+    this.highestPosition = maxPosition(this.highestPosition ?? next.position, next.position);
+    const last = this.entries.at(-1);
+    if (last !== undefined && next.sentAt - last.sentAt < SPACING_MS) return;
+    this.entries.push(next);
+    while ((this.entries[0]?.sentAt ?? next.sentAt) < next.sentAt - TTL_MS) this.entries.shift();
   }
 
-  /** Oldest mark whose question was sent at `notBefore` or later. */
+  /** Oldest watermark whose query was sent at `notBefore` or later. */
   oldestSince(notBefore: number): PrimaryWatermark | undefined {
-    return this.marks.find((mark) => mark.sentAt >= notBefore);
+    return this.entries.find((entry) => entry.sentAt >= notBefore);
   }
 }
 
 /**
- * Whether an upstream that tells `told` lacks what it had told before: it has lost its log. `floor` has to
- * have been told before the question was sent, since answers on several connections overtake one another.
+ * Whether an upstream that is now at `reported` has fallen behind `floor`, which it reported
+ * before, and so has lost part of its log. `floor` must have been reported before the query was
+ * sent, since answers on several connections may arrive out of order.
  */
-export function hasRegressed(floor: Position | undefined, told: Position | undefined): boolean {
-  if (floor === undefined || told === undefined) return false;
-  return comparePositions(told, floor) < 0;
+export function hasRegressed(floor: Position | undefined, reported: Position | undefined): boolean {
+  if (floor === undefined || reported === undefined) return false;
+  return comparePositions(reported, floor) < 0;
 }
 
-/** What a session has to see of its own commits. */
+/** Latest commit of a session, which its reads have to see. */
 export interface SessionPosition {
   /** Epoch under which the commit was confirmed. */
   readonly epoch: number;
@@ -74,15 +76,15 @@
 }
 
 /**
- * Position that a replica must hold for a read: the mark's, or the session's own commit if that is
- * later. A commit of an earlier epoch needs nothing more than the mark: what a promotion kept of it
- * lies before every position of the new primary.
+ * Position that a replica must contain for a read: that of the watermark, or of the session's own
+ * commit if it is later. A commit of an earlier epoch requires no more than the watermark: what a
+ * promotion kept of it precedes every position of the new primary.
  */
 export function readFloor(
-  mark: PrimaryWatermark,
+  watermark: PrimaryWatermark,
   epoch: number,
   own: SessionPosition | undefined,
 ): Position {
-  if (own?.epoch !== epoch) return mark.position;
-  return comparePositions(own.position, mark.position) > 0 ? own.position : mark.position;
+  if (own?.epoch !== epoch) return watermark.position;
+  return comparePositions(own.position, watermark.position) > 0 ? own.position : watermark.position;
 }
--- a/packages/coordination/src/reads/watermarks.ts
+++ b/packages/coordination/src/reads/watermarks.ts
@@ -1,8 +1,9 @@
 /**
- * Proves how old an upstream's data is without synchronized clocks: the home notes "when I asked
- * at local time t, the primary stood at p"; an upstream that has applied p shows nothing older
- * than t. While the primary can't be asked the proved age only grows. A superseded primary that still
- * answers proves nothing, so a mark counts only up to the time of the primary's proved authority.
+ * Proves an upper bound of the age of an upstream's data without synchronized clocks: the home
+ * records watermarks, each of which states that the primary, when queried at local time t, was at
+ * position p. An upstream that has applied p shows no state older than t. While the primary can't
+ * be queried, the proved age only grows. A superseded primary that still answers proves nothing, so
+ * a watermark is valid only up to the time for which the primary's authority is proved.
  */
 import { majorityOf } from '../model/group.js';
 import type { UpstreamId } from '../model/ids.js';
@@ -10,7 +11,7 @@
 import { coverage, Coverage } from './position.js';
 import type { TimedReport } from '../model/upstream-report.js';
 
-/** One observation of the primary. */
+/** One observed position of the primary. */
 export interface PrimaryWatermark {
   /** Local time at which the query was sent, milliseconds. */
   readonly sentAt: number;
@@ -18,30 +19,31 @@
   readonly position: Position;
 }
 
-/** Observations kept, newest last; bounded in number and spacing. */
+/** Watermarks, latest last; bounded in number and with a minimum interval. */
 export type PrimaryWatermarks = readonly PrimaryWatermark[];
 
-const MAX_MARKS = 256;
+const MAX_WATERMARKS = 256;
 
 /**
- * Adds an observation. Marks younger than `spacingMs` after the one before replace nothing and
- * are dropped, so that 256 marks reach back 256 x spacing.
+ * Adds a watermark. One taken less than `spacingMs` after the previous one is dropped, so that 256
+ * watermarks cover a period of 256 * spacingMs.
  */
 export function addWatermark(
-  marks: PrimaryWatermarks,
-  mark: PrimaryWatermark,
+  watermarks: PrimaryWatermarks,
+  watermark: PrimaryWatermark,
   spacingMs: number,
 ): PrimaryWatermarks {
-  const last = marks.at(-1);
-  if (last !== undefined && mark.sentAt - last.sentAt < spacingMs) return marks;
-  return [...marks, mark].slice(-MAX_MARKS);
+  const last = watermarks.at(-1);
+  if (last !== undefined && watermark.sentAt - last.sentAt < spacingMs) return watermarks;
+  return [...watermarks, watermark].slice(-MAX_WATERMARKS);
 }
 
 /**
- * Latest local time at which the primary of `term` was surely not superseded: a majority of the
- * members answered, to queries sent then or later, that nothing had fenced them past the term.
+ * Latest local time at which the primary of `term` was certainly not superseded: a majority of the
+ * members reported, in answer to queries sent at or after that time, that they were not fenced at a
+ * later term.
  *
- * @returns -Infinity when no majority did.
+ * @returns -Infinity if no majority did
  */
 export function authorityAt(
   members: readonly UpstreamId[],
@@ -57,18 +59,19 @@
   return times[majorityOf(members.length) - 1] ?? Number.NEGATIVE_INFINITY;
 }
 
-/** What an age is proved from. */
+/** Evidence from which an age is proved. */
 export interface AgeProof {
   readonly marks: PrimaryWatermarks;
   readonly lineage: Lineage;
-  /** Highest {@link authorityAt} so far; a mark taken later may be of a superseded primary. */
+  /** Highest {@link authorityAt} so far; a later watermark may come from a superseded primary. */
   readonly authority: number;
 }
 
 /**
- * Age of data at `applied`, milliseconds: time since the newest mark that it covers was *sent*.
+ * Age of the data at `applied`, milliseconds: time since the query of the latest watermark that it
+ * contains was *sent*.
  *
- * @returns Infinity when it covers no mark.
+ * @returns Infinity if it contains no watermark
  */
 export function provedAge(proof: AgeProof, applied: Position, now: number): number {
   const { marks, lineage, authority } = proof;
