--- a/packages/coordination/tests/acknowledgement.feature
+++ b/packages/coordination/tests/acknowledgement.feature
@@ -1,13 +1,13 @@
-Feature: A write is confirmed only when no promotion can lose it
+Feature: A write is confirmed only once no promotion can lose it
 
   Background:
     Given a group of upstreams "a, b, c" whose lineage is "1:0"
 
   Scenario Outline: Majority evidence under one term
-    When a commit stands at term 1 offset 10 and the reports are "<reports>"
+    When a commit is at term 1 offset 10 and the reports are "<reports>"
     Then the verdict is "<verdict>"
 
-    # report = upstream:term/offset, "!n" = fenced to term n
+    # report = upstream:term/offset, "!n" = fenced at term n
     Examples:
       | reports                     | verdict   | why                                        |
       | a:1/10                      | waiting   | the primary alone is no majority           |
@@ -22,7 +22,7 @@
 
   Scenario Outline: A commit of an earlier term
     Given the lineage is now "<lineage>"
-    When a commit stands at term 1 offset 10 and the reports are "<reports>"
+    When a commit is at term 1 offset 10 and the reports are "<reports>"
     Then the verdict is "<verdict>"
 
     Examples:
@@ -33,7 +33,7 @@
       | 1:0, 2:9      | b:2/10, c:1/9  | waiting    | a promotion missing b could choose it yet |
       | 1:0, 2:12, 3:9 | c:3/20, a:3/20 | superseded | a later promotion discarded it           |
 
-  Scenario: The baseline confirms at once
+  Scenario: The baseline confirms immediately
     Given writes are confirmed by the primary alone
-    When a commit stands at term 1 offset 10 and the reports are ""
+    When a commit is at term 1 offset 10 and the reports are ""
     Then the verdict is "confirmed"
--- a/packages/coordination/tests/acknowledgement.steps.ts
+++ b/packages/coordination/tests/acknowledgement.steps.ts
@@ -8,7 +8,7 @@
   members: readonly UpstreamId[];
   record: GroupRecord;
   rule: AcknowledgementRule;
-  verdict: string;
+  decision: string;
 }
 
 Given(
@@ -29,14 +29,14 @@
 });
 
 When(
-  'a commit stands at term {int} offset {int} and the reports are {string}',
+  'a commit is at term {int} offset {int} and the reports are {string}',
   function (this: AckWorld, term: number, offset: number, reports: string) {
     const { members, record } = this;
     const position = { term, offset };
-    this.verdict = this.rule.decide({ position, record, members, reports: parseReports(reports) });
+    this.decision = this.rule.decide({ position, record, members, reports: parseReports(reports) });
   },
 );
 
 Then('the verdict is {string}', function (this: AckWorld, verdict: string) {
-  assert.equal(this.verdict, verdict);
+  assert.equal(this.decision, verdict);
 });
--- a/packages/coordination/tests/authority.feature
+++ b/packages/coordination/tests/authority.feature
@@ -1,6 +1,6 @@
-Feature: Who may use a primary, and from when nobody does
+Feature: Which hosts may use a primary, and when none may
 
-  Scenario Outline: A host uses the primary only under a young proof of a serving record
+  Scenario Outline: A host uses the primary only with a valid proof of a serving record
     Given a record in phase "<phase>" and a proof sent at <proved> ms
     Then at <now> ms the host <may> use the primary
 
@@ -12,12 +12,12 @@
       | claimed | 0      | 1    | may not | another host changes the primary |
       | none    | 0      | 1    | may not | no record is known               |
 
-  Scenario Outline: An answer counts only under the record with which its question was sent
+  Scenario Outline: An answer is valid only under the record under which its request was sent
     Given a record in phase "serving" and a proof sent at <proved> ms
-    And the question was sent under epoch <epoch>, and answered by <by>
+    And the request was sent under epoch <epoch>, and answered by <by>
     Then an answer at <now> ms <counts>
 
-    # the record held is of epoch 2
+    # the host holds a record of epoch 2
     Examples:
       | proved | epoch | by               | now  | counts        | why                                          |
       | 0      | 2     | the primary      | 100  | counts        | nothing has changed                          |
@@ -25,7 +25,7 @@
       | 0      | 2     | the primary      | 1100 | doesn't count | the proof ran out while it was running       |
       | 0      | 2     | another upstream | 100  | doesn't count | it was meant for it before the record changed |
 
-  Scenario Outline: Other hosts renew a proof only as a majority of a young list
+  Scenario Outline: A proof is renewed by other hosts only if a majority of a recent host list answers
     Given <answered> of <listed> hosts answer, by a list read <age> ms ago
     Then the renewal <counts>
 
@@ -37,11 +37,11 @@
       | 1        | 1      | 100   | counts        | the only host                                 |
       | 8        | 8      | 20001 | doesn't count | hosts that joined meanwhile could outvote it  |
 
-  Scenario: Silent hosts are waited for from the majority's acknowledgement on
+  Scenario: Hosts that do not answer are waited for, counted from the acknowledgement of the majority
     Given the majority acknowledged a claim at 200 ms
-    Then silent hosts have given the primary up at 1300 ms
+    Then silent hosts have released the primary at 1300 ms
 
-  Scenario Outline: A host acknowledges a claim only if it holds it, or a later version
+  Scenario Outline: A host acknowledges a claim only if it holds the claim or a later version
     Given a host that holds epoch <held> in phase "<phase>"
     Then it <acks> the claim of epoch 2
 
@@ -52,7 +52,7 @@
       | 2    | serving | doesn't acknowledge | a claim made of an outdated record               |
       | 1    | serving | doesn't acknowledge | it has not taken the claim                       |
 
-  Scenario Outline: Versions of a record follow one another
+  Scenario Outline: Later versions of a record replace earlier ones
     Given a host that holds epoch <held> in phase "<phase>"
     Then epoch <next> in phase "<next phase>" <replaces> it
 
@@ -65,8 +65,8 @@
       | 2    | serving | 2    | named      | doesn't replace  | an older version of the claim came late         |
       | 2    | named   | 3    | claimed    | replaces         | the claim was taken over                        |
 
-  Scenario Outline: A host is taken off the list when nobody hears it for long
-    Given <missing> of <listed> hosts miss a host and <reaching> reach it, for <silent> ms
+  Scenario Outline: A host is removed from the host list when no host has reached it for long enough
+    Given <missing> of <listed> hosts do not reach a host and <reaching> reach it, for <silent> ms
     Then it is <verdict>
 
     Examples:
--- a/packages/coordination/tests/authority.steps.ts
+++ b/packages/coordination/tests/authority.steps.ts
@@ -24,8 +24,8 @@
   sentUnder: PrimaryRecord;
   answeredBy: UpstreamId;
   renewal: PeerRenewal;
-  majorityAt: number;
-  silence: SilenceEvidence;
+  majorityAckedAt: number;
+  evidence: SilenceEvidence;
   silentMs: number;
 }
 
@@ -36,9 +36,9 @@
   return { group, epoch, phase, primary: upstreamId('a'), holder: hostId('h') };
 }
 
-/** Version of a record by the words of the tables; a named claim has a successor. */
-function versionOf(epoch: number, words: string): PrimaryRecord {
-  if (words !== 'named') return recordOf(epoch, phaseOf(words));
+/** Version of a record in a phase of the tables; "named" is a claim with a named successor. */
+function versionOf(epoch: number, phase: string): PrimaryRecord {
+  if (phase !== 'named') return recordOf(epoch, phaseOf(phase));
   const received = { term: 1, offset: 7 };
   const successor = { id: upstreamId('b'), isPrimary: false, term: 1, received };
   return namedRecord(recordOf(epoch, RecordPhase.Claimed), successor);
@@ -60,7 +60,7 @@
 );
 
 Given(
-  /^the question was sent under epoch (\d+), and answered by (the primary|another upstream)$/,
+  /^the request was sent under epoch (\d+), and answered by (the primary|another upstream)$/,
   function (this: AuthorityWorld, epoch: string, by: string) {
     this.sentUnder = recordOf(Number(epoch), RecordPhase.Serving);
     this.answeredBy = by === 'the primary' ? this.sentUnder.primary : upstreamId('b');
@@ -77,7 +77,7 @@
 Given(
   'the majority acknowledged a claim at {int} ms',
   function (this: AuthorityWorld, majorityAt: number) {
-    this.majorityAt = majorityAt;
+    this.majorityAckedAt = majorityAt;
   },
 );
 
@@ -109,9 +109,9 @@
 });
 
 Then(
-  'silent hosts have given the primary up at {int} ms',
+  'silent hosts have released the primary at {int} ms',
   function (this: AuthorityWorld, at: number) {
-    assert.equal(proofsExpiredAt(this.majorityAt, DEFAULT_AUTHORITY), at);
+    assert.equal(proofsExpiredAt(this.majorityAckedAt, DEFAULT_AUTHORITY), at);
   },
 );
 
@@ -140,7 +140,7 @@
 );
 
 Given(
-  '{int} of {int} hosts miss a host and {int} reach it, for {int} ms',
+  '{int} of {int} hosts do not reach a host and {int} reach it, for {int} ms',
   function (
     this: AuthorityWorld,
     missing: number,
@@ -148,12 +148,12 @@
     reaching: number,
     silentMs: number,
   ) {
-    this.silence = { missing, listed, reaching };
+    this.evidence = { missing, listed, reaching };
     this.silentMs = silentMs;
   },
 );
 
 Then(/^it is (retired|kept)$/, function (this: AuthorityWorld, verdict: string) {
-  const retires = mayRetire(this.silence, this.silentMs, DEFAULT_RETIREMENT);
+  const retires = mayRetire(this.evidence, this.silentMs, DEFAULT_RETIREMENT);
   assert.equal(retires, verdict === 'retired');
 });
--- a/packages/coordination/tests/bound-regions.feature
+++ b/packages/coordination/tests/data-residency.feature
@@ -1,7 +1,7 @@
-Feature: Regions that data may not leave
+Feature: Data residency
 
-  Scenario Outline: Route and workspace both bind
-    Given a route bound to "<route>" and a workspace bound to "<workspace>"
+  Scenario Outline: Route and workspace both restrict the regions
+    Given a route restricted to "<route>" and a workspace restricted to "<workspace>"
     Then its data may be in "<permitted>"
 
     Examples:
@@ -12,7 +12,7 @@
       | r1,r2    | r2,r3     | r2        | both                        |
       | r1       | r2        | nowhere   | they have nothing in common |
 
-  Scenario Outline: Zones inside
+  Scenario Outline: Zones in permitted regions
     Given zones "z1:r1,z2:r2,z3:-" with their regions
     When data may be in "<permitted>"
     Then the zones that may be used are "<zones>"
--- a/packages/coordination/tests/bound-regions.steps.ts
+++ b/packages/coordination/tests/data-residency.steps.ts
@@ -9,13 +9,13 @@
   topology: Topology;
 }
 
-function regionsOf(words: string): PermittedRegions {
-  if (words === 'anywhere') return undefined;
-  return words === 'nowhere' ? [] : words.split(',').map(regionId);
+function regionsOf(text: string): PermittedRegions {
+  if (text === 'anywhere') return undefined;
+  return text === 'nowhere' ? [] : text.split(',').map(regionId);
 }
 
 Given(
-  'a route bound to {string} and a workspace bound to {string}',
+  'a route restricted to {string} and a workspace restricted to {string}',
   function (this: RegionsWorld, route: string, workspace: string) {
     this.permitted = permittedRegions(regionsOf(route), regionsOf(workspace));
   },
@@ -27,12 +27,12 @@
 
 Given('zones {string} with their regions', function (this: RegionsWorld, zones: string) {
   const pairs = zones.split(',').map((pair) => pair.split(':'));
-  const told = new Map<AzId, RegionId>();
+  const regionByZone = new Map<AzId, RegionId>();
   for (const [az = '', region = '-'] of pairs) {
-    if (region !== '-') told.set(azId(az), regionId(region));
+    if (region !== '-') regionByZone.set(azId(az), regionId(region));
   }
   this.zones = pairs.map(([az = '']) => azId(az));
-  this.topology = new Topology(told);
+  this.topology = new Topology(regionByZone);
 });
 
 When('data may be in {string}', function (this: RegionsWorld, regions: string) {
@@ -40,6 +40,6 @@
 });
 
 Then('the zones that may be used are {string}', function (this: RegionsWorld, zones: string) {
-  const inside = this.zones.filter((az) => isPermitted(az, this.permitted, this.topology));
-  assert.equal(inside.join(','), zones);
+  const permitted = this.zones.filter((az) => isPermitted(az, this.permitted, this.topology));
+  assert.equal(permitted.join(','), zones);
 });
--- a/packages/coordination/tests/era-opening.feature
+++ b/packages/coordination/tests/era-opening.feature
@@ -1,8 +1,8 @@
-Feature: When a new era of the metadata store may be relied on
+Feature: When a new era of the metadata store may be opened
 
-  Scenario Outline: Who has to be heard, and how long silent hosts are waited for
-    Given <listed> hosts were listed before, of which <answered> answer and <replaced> are replaced
-    Then <ms> ms after the era was first seen it <may> be opened
+  Scenario Outline: Which hosts have to answer, and how long the others are waited for
+    Given <listed> hosts were listed in the previous era, of which <answered> answer and <replaced> are replaced
+    Then <ms> ms after the era was first observed it <may> be opened
 
     Examples:
       | listed | answered | replaced | ms    | may     | because                                             |
@@ -18,9 +18,9 @@
       | 3      | 1        | 0        | 20999 | may not | a list of the era before may still renew a proof    |
       | 3      | 1        | 0        | 21000 | may     | no silent host can hold a proof                     |
 
-  Scenario Outline: The fence from which the era goes on
-    Given <listed> hosts were listed before, of which <answered> answer and 0 are replaced
-    Then the fence goes on from <known> at <fence>
+  Scenario Outline: The first fence of the era
+    Given <listed> hosts were listed in the previous era, of which <answered> answer and 0 are replaced
+    Then with a highest known fence of <known> the era starts at <fence>
 
     Examples:
       | listed | answered | known | fence  |
@@ -29,8 +29,8 @@
       | 3      | 2        | 7     | 100007 |
       | 3      | 2        | 0     | 100000 |
 
-  Scenario Outline: Numbers that stand in for what can't be read lie above all that were used before
-    Given a record of epoch <epoch> that can't be read at <era>.<revision> any more
+  Scenario Outline: Placeholders for unreadable records have a higher epoch than any used before
+    Given a record of epoch <epoch> that is unreadable at store position <era>.<revision>
     Then it counts as claimed under epoch <doubt>
 
     Examples:
--- a/packages/coordination/tests/era-opening.steps.ts
+++ b/packages/coordination/tests/era-opening.steps.ts
@@ -14,32 +14,32 @@
 
 interface OpeningWorld {
   former: PreviousEraHosts;
-  doubted: PrimaryRecord;
+  placeholder: PrimaryRecord;
 }
 
 Given(
-  '{int} hosts were listed before, of which {int} answer and {int} are replaced',
+  '{int} hosts were listed in the previous era, of which {int} answer and {int} are replaced',
   function (this: OpeningWorld, listed: number, answered: number, replaced: number) {
     this.former = { listed, answered, replaced };
   },
 );
 
 Then(
-  /^(\d+) ms after the era was first seen it (may|may not) be opened$/,
+  /^(\d+) ms after the era was first observed it (may|may not) be opened$/,
   function (this: OpeningWorld, ms: string, may: string) {
     assert.equal(mayOpenEra(this.former, Number(ms), DEFAULT_AUTHORITY), may === 'may');
   },
 );
 
 Then(
-  'the fence goes on from {int} at {int}',
+  'with a highest known fence of {int} the era starts at {int}',
   function (this: OpeningWorld, known: number, fence: number) {
     assert.equal(initialFence(known, this.former), fence);
   },
 );
 
 Given(
-  /^a record of epoch (\d+) that can't be read at (\d+)\.(\d+) any more$/,
+  /^a record of epoch (\d+) that is unreadable at store position (\d+)\.(\d+)$/,
   function (this: OpeningWorld, epoch: string, era: string, revision: string) {
     const group = groupId('g1');
     const former = {
@@ -50,10 +50,10 @@
       holder: hostId('h1'),
     };
     const position = { era: Number(era), revision: Number(revision) };
-    this.doubted = placeholderRecord(group, former, position);
+    this.placeholder = placeholderRecord(group, former, position);
   },
 );
 
 Then('it counts as claimed under epoch {int}', function (this: OpeningWorld, epoch: number) {
-  assert.deepEqual([this.doubted.phase, this.doubted.epoch], [RecordPhase.Claimed, epoch]);
+  assert.deepEqual([this.placeholder.phase, this.placeholder.epoch], [RecordPhase.Claimed, epoch]);
 });
--- a/packages/coordination/tests/evacuation.feature
+++ b/packages/coordination/tests/evacuation.feature
@@ -1,9 +1,9 @@
-Feature: Work that upstreams of an evacuated zone still take
+Feature: Work that upstreams of an evacuated zone still accept
 
-  Scenario Outline: Work by the time since the zone was surely in use
-    Given a zone that was surely in use at <inUseAt> and has to be left within 5000 ms
-    When an upstream of it is asked at 10000 ms
-    Then new work is <new> at a primary that another can follow, <lone> elsewhere, and open transactions <open>
+  Scenario Outline: Accepted work by the time since the zone was last known to be in use
+    Given a zone that was last known to be in use at <inUseAt> and has to be evacuated within 5000 ms
+    When an upstream of it is considered at 10000 ms
+    Then new work is <new> at a primary that can be replaced, <lone> elsewhere, and open transactions <open>
 
     Examples:
       | inUseAt | new     | lone    | open   | why                                               |
@@ -14,10 +14,10 @@
       | 4000    | refused | refused | end    | all of it is over                                 |
       | unknown | refused | refused | end    | the host can not tell how old the request is      |
 
-  Scenario Outline: A successor is never in an evacuated zone, and holds what replicas have confirmed
+  Scenario Outline: A successor is never in an evacuated zone and holds every confirmed commit
     Given reports "<reports>" of upstreams
-    When the primary "a" of 2 replicas is to be followed, and <sync> of them confirm commits
-    Then "<successor>" follows
+    When the primary "a" with 2 replicas is to be replaced, and <sync> of them confirm commits
+    Then the promoted upstream is "<successor>"
 
     # report = id:position[:evacuated]
     Examples:
--- a/packages/coordination/tests/evacuation.steps.ts
+++ b/packages/coordination/tests/evacuation.steps.ts
@@ -17,30 +17,30 @@
   successor: string;
 }
 
-/** When the zone was surely in use, by the words of a table. */
-function timeOf(words: string): number | undefined {
-  if (words === 'never') return undefined;
-  return words === 'unknown' ? Number.NEGATIVE_INFINITY : Number(words);
+/** Time at which the zone was last known to be in use, from a table cell. */
+function timeOf(text: string): number | undefined {
+  if (text === 'never') return undefined;
+  return text === 'unknown' ? Number.NEGATIVE_INFINITY : Number(text);
 }
 
 Given(
-  /^a zone that was surely in use at (\w+) and has to be left within (\d+) ms$/,
+  /^a zone that was last known to be in use at (\w+) and has to be evacuated within (\d+) ms$/,
   function (this: EvacuationWorld, inUseAt: string, evacuationMs: string) {
     this.inUseAt = timeOf(inUseAt);
     this.evacuationMs = Number(evacuationMs);
   },
 );
 
-When('an upstream of it is asked at {int} ms', function (this: EvacuationWorld, now: number) {
+When('an upstream of it is considered at {int} ms', function (this: EvacuationWorld, now: number) {
   this.stage = evacuationStage(this.inUseAt, now, this.evacuationMs);
 });
 
 Then(
-  /^new work is (\w+) at a primary that another can follow, (\w+) elsewhere, and open transactions (go on|end)$/,
+  /^new work is (\w+) at a primary that can be replaced, (\w+) elsewhere, and open transactions (go on|end)$/,
   function (this: EvacuationWorld, atPrimary: string, elsewhere: string, open: string) {
-    const isTaken = (words: string): boolean => words === 'taken';
-    assert.equal(acceptsNewWork(this.stage, true), isTaken(atPrimary));
-    assert.equal(acceptsNewWork(this.stage, false), isTaken(elsewhere));
+    const isAccepted = (text: string): boolean => text === 'taken';
+    assert.equal(acceptsNewWork(this.stage, true), isAccepted(atPrimary));
+    assert.equal(acceptsNewWork(this.stage, false), isAccepted(elsewhere));
     assert.equal(this.stage !== EvacuationStage.Evacuated, open === 'go on');
   },
 );
@@ -61,13 +61,13 @@
 });
 
 When(
-  'the primary {string} of {int} replicas is to be followed, and {int} of them confirm commits',
+  'the primary {string} with {int} replicas is to be replaced, and {int} of them confirm commits',
   function (this: EvacuationWorld, former: string, replicas: number, sync: number) {
     const chosen = chooseCoveringSuccessor(this.reports, upstreamId(former), replicas, sync);
     this.successor = chosen?.id ?? 'none';
   },
 );
 
-Then('{string} follows', function (this: EvacuationWorld, successor: string) {
+Then('the promoted upstream is {string}', function (this: EvacuationWorld, successor: string) {
   assert.equal(this.successor, successor);
 });
--- a/packages/coordination/tests/loop-delay.feature
+++ b/packages/coordination/tests/event-loop-monitor.feature
@@ -1,6 +1,6 @@
-Feature: A host that did not run for a while reads what others sent before it judges them
+Feature: After a pause a host reads pending messages before it treats others as late
 
-  Scenario Outline: Time in which the host did not run does not count
+  Scenario Outline: Pauses of the process are not counted towards the delay of others
     When ticks come at <ticks> ms
     Then <paused> ms since <at> ms were pauses
 
@@ -15,7 +15,7 @@
 
   Scenario Outline: Ticks due each 100 ms
     When ticks come at <ticks> ms
-    Then others are judged in <judged>
+    Then others may be treated as late at <judged> ms
 
     Examples:
       | ticks               | judged              | why                                            |
--- a/packages/coordination/tests/failover.feature
+++ b/packages/coordination/tests/failover.feature
@@ -1,8 +1,8 @@
-Feature: When a primary is changed, by whom, and to which upstream
+Feature: When a primary is changed, by which host, and to which upstream
 
-  Scenario Outline: A suspected primary is judged by what all hosts see
+  Scenario Outline: The decision on a suspected primary depends on the answers of all hosts
     Given <reaching> hosts that reach the primary, <failing> that don't, <silent> silent
-    When it has failed the asking host for <failed> ms
+    When it has been unreachable for the asking host for <failed> ms
     Then the suspicion leads to "<verdict>"
 
     Examples:
@@ -17,12 +17,12 @@
       | 0        | 3       | 8      | 9000   | wait    | the asking zone is the one cut off        |
       | 0        | 4       | 4      | 9000   | wait    | no majority                               |
 
-  Scenario Outline: The successor has received most, and stays
+  Scenario Outline: The successor has received the most and is not draining
     Given upstreams reporting "<reports>"
     When "a" was the primary
     Then the successor is "<successor>"
 
-    # report = id:role:term.position[:draining][:near], near the former primary
+    # report = id:role:term.position[:draining][:near]; near = in the region of the former primary
     Examples:
       | reports                                        | successor | why                                   |
       | b:replica:1.10,c:replica:1.12                  | c         | the furthest                          |
@@ -39,7 +39,7 @@
       | b:primary:2.5,c:replica:1.12:near              | b         | it leads already, in another region   |
       | b:replica:1.10,c:replica:1.10:draining:near    | b         | leaving ones come last there as well  |
 
-  Scenario Outline: A successor is chosen only of reports that must hold every confirmed commit
+  Scenario Outline: A successor is chosen only if the reports are certain to cover every confirmed commit
     Given upstreams reporting "<reports>"
     When "a" was the primary of a group with <replicas> replicas, <sync> of which confirm
     Then there are <enough> reports
@@ -54,7 +54,7 @@
       | b:replica:1.10                          | 2        | 2    | enough     | every one has confirmed each           |
       | b:replica:1.10                          | 1        | 1    | enough     | it has confirmed each                  |
 
-  Scenario Outline: A planned change ends with the former primary where its commits would be lost
+  Scenario Outline: A planned change keeps the former primary if commits would be lost otherwise
     Given upstreams reporting "<reports>"
     When "a" was the primary
     Then a planned change <ends>
@@ -67,9 +67,9 @@
       | b:replica:1.10                         | goes on                      | the former primary is silent              |
       | a:primary:1.12,b:primary:2.10          | goes on                      | an earlier call has taken effect          |
 
-  Scenario Outline: The duty to call moves only after the former holder's window
-    Given the duty record "<record>" seen at 0 ms
-    When host "h" of incarnation 7 wants the duty at <now> ms
+  Scenario Outline: The promotion lease moves only after the window of the former holder
+    Given the promotion lease "<record>" observed at 0 ms
+    When host "h" of incarnation 7 requests the promotion lease at <now> ms
     Then it <claim>
 
     # record = holder/incarnation/fence
@@ -81,9 +81,9 @@
       | g/1/4  | 5999 | waits until 6000 ms    | window of 4 s and gap of 2 s     |
       | g/1/4  | 6000 | takes it with fence 5  | the window is over               |
 
-  Scenario Outline: The holder of the duty acts first while nobody else may call
-    Given the duty record "<record>" seen at 0 ms
-    When hosts ranked "a,g,h" look for who acts at <now> ms
+  Scenario Outline: The holder of the promotion lease acts first while no other host may request promotions
+    Given the promotion lease "<record>" observed at 0 ms
+    When hosts ranked "a,g,h" determine the failover order at <now> ms
     Then they act in the order "<order>"
 
     Examples:
@@ -94,7 +94,7 @@
       | g/1/4  | 6000 | a,g,h | anybody may take the duty                       |
       | x/1/4  | 100  | a,g,h | the holder is not listed any more               |
 
-  Scenario Outline: Whoever takes a claim over calls for the upstream that it has named
+  Scenario Outline: A host that takes over a claim retains the successor that the claim has named
     Given a claim that has named <named>
     And that upstream <standing>
     Then the next claim names <next>
--- a/packages/coordination/tests/failover.steps.ts
+++ b/packages/coordination/tests/failover.steps.ts
@@ -26,44 +26,47 @@
 } from '../src/index.js';
 
 interface FailoverWorld {
-  counts: ReachEvidence;
-  verdict: string;
+  evidence: ReachEvidence;
+  decision: string;
   reports: readonly SuccessorReport[];
   former: string;
   seen: SeenPromotionLease | undefined;
   claim: PromotionLeaseClaim;
   order: readonly HostId[];
   enough: boolean;
-  named: PrimaryRecord;
-  standing: SuccessorStatus;
+  claimRecord: PrimaryRecord;
+  status: SuccessorStatus;
 }
 
 Given(
   "{int} hosts that reach the primary, {int} that don't, {int} silent",
   function (this: FailoverWorld, reaching: number, failing: number, silent: number) {
-    this.counts = { reaching, failing, silent };
+    this.evidence = { reaching, failing, silent };
   },
 );
 
-When('it has failed the asking host for {int} ms', function (this: FailoverWorld, ms: number) {
-  this.verdict = decideFailover(this.counts, ms, DEFAULT_FAILOVER);
-});
+When(
+  'it has been unreachable for the asking host for {int} ms',
+  function (this: FailoverWorld, ms: number) {
+    this.decision = decideFailover(this.evidence, ms, DEFAULT_FAILOVER);
+  },
+);
 
 Then('the suspicion leads to {string}', function (this: FailoverWorld, verdict: string) {
-  assert.equal(this.verdict, verdict);
+  assert.equal(this.decision, verdict);
 });
 
 Given('upstreams reporting {string}', function (this: FailoverWorld, reports: string) {
   this.reports = reports.split(',').map((report) => {
-    const [id, role, position, ...marks] = report.split(':');
+    const [id, role, position, ...flags] = report.split(':');
     const [term, offset] = (position ?? '').split('.').map(Number);
     return {
       id: upstreamId(id ?? ''),
       isPrimary: role === 'primary',
       term: term ?? 0,
       received: { term: term ?? 0, offset: offset ?? 0 },
-      draining: marks.includes('draining'),
-      isInFormerRegion: marks.includes('near'),
+      draining: flags.includes('draining'),
+      isInFormerRegion: flags.includes('near'),
     };
   });
 });
@@ -89,7 +92,7 @@
 });
 
 Given(
-  'the duty record {string} seen at {int} ms',
+  'the promotion lease {string} observed at {int} ms',
   function (this: FailoverWorld, record: string, seenAt: number) {
     const [holder, incarnation, fence] = record.split('/');
     this.seen =
@@ -105,7 +108,7 @@
 );
 
 When(
-  'host {string} of incarnation {int} wants the duty at {int} ms',
+  'host {string} of incarnation {int} requests the promotion lease at {int} ms',
   function (this: FailoverWorld, host: string, incarnation: number, now: number) {
     this.claim = claimPromotionLease(
       this.seen,
@@ -135,7 +138,7 @@
 );
 
 When(
-  'hosts ranked {string} look for who acts at {int} ms',
+  'hosts ranked {string} determine the failover order at {int} ms',
   function (this: FailoverWorld, ranked: string, now: number) {
     const hosts = ranked.split(',').map((host) => hostId(host));
     this.order = failoverOrder(hosts, this.seen, now, DEFAULT_FAILOVER);
@@ -156,13 +159,13 @@
   };
   const received = { term: 1, offset: 7 };
   const successor = { id: upstreamId(named), isPrimary: false, term: 1, received };
-  this.named = named === 'nobody' ? claim : namedRecord(claim, successor);
+  this.claimRecord = named === 'nobody' ? claim : namedRecord(claim, successor);
 });
 
 Given(
   /^that upstream (has its entry|is gone|lies in an evacuated zone|was refused by the platform)$/,
   function (this: FailoverWorld, standing: string) {
-    this.standing = {
+    this.status = {
       isThere: standing !== 'is gone',
       isEvacuated: standing === 'lies in an evacuated zone',
       isRefused: standing === 'was refused by the platform',
@@ -171,6 +174,6 @@
 );
 
 Then(/^the next claim names (u1|nobody)$/, function (this: FailoverWorld, next: string) {
-  const kept = retainedSuccessor(this.named, this.standing);
+  const kept = retainedSuccessor(this.claimRecord, this.status);
   assert.equal(kept?.id ?? 'nobody', next);
 });
--- a/packages/coordination/tests/homes.feature
+++ b/packages/coordination/tests/homes.feature
@@ -1,12 +1,12 @@
-Feature: Homes and connection budgets, whoever believes to hold a home
+Feature: Homes and connection budgets, whichever hosts consider themselves homes
 
-  Scenario: Every host ranks homes alike and a loss moves only what it held
+  Scenario: All hosts rank homes identically, and a loss moves only the homes of the lost host
     Given 200 hosts of a zone and 500 groups
     When one host is lost
     Then only groups that it held change their homes, and each by one host
 
-  Scenario Outline: The zone's part of an upstream is never exceeded
-    Given a zone's part of <part> connections and 2 homes a group
+  Scenario Outline: The zone's share of an upstream is never exceeded
+    Given a zone's share of <part> connections and 2 homes a group
     When both homes are replaced at once and old and new serve together
     Then they hold at most <part> connections together and each at least 1
 
@@ -18,11 +18,11 @@
       | 13   | Harborline: 40 over three zones  |
       | 100  | large                            |
 
-  Scenario: A new home takes its full slot once the former holder has surely given up
-    Given a zone's part of 8 connections and 2 homes a group
-    Then a home of 4 s has less than one of 6 s when surrender takes 5 s
+  Scenario: A new home uses its full slot once the former holder has certainly released it
+    Given a zone's share of 8 connections and 2 homes a group
+    Then a home of 4 s has less than one of 6 s when releasing a slot takes 5 s
 
-  Scenario Outline: Who lives, as relays tell
+  Scenario Outline: Member states from the views of several relays
     Given relay views "<views>"
     Then host "x" is <state>
 
@@ -36,8 +36,8 @@
       | 1:leaving, 2:live    | live    | a restart is a newer incarnation           |
       | 2:gone, 1:live       | gone    | news of an older incarnation does not count |
 
-  Scenario Outline: Large zones beat more slowly, but at least twice before they expire
-    Then a zone of <members> beats every <interval> ms with base 1000 and expiry 3500
+  Scenario Outline: Large zones send heartbeats less often, but at least two per expiry time
+    Then a zone of <members> hosts sends heartbeats every <interval> ms with base 1000 and expiry 3500
 
     Examples:
       | members | interval |
@@ -46,9 +46,9 @@
       | 195     | 1500     |
       | 400     | 1522     |
 
-  Scenario Outline: A relay's judgement on virtual time, expiry 3500 ms
-    When a host beats at "<beats>" and the relay judges at <now>
-    Then the relay tells "<told>"
+  Scenario Outline: Expiry of members at a relay on virtual time, after 3500 ms
+    When a host sends heartbeats at "<beats>" and the relay checks at <now>
+    Then the relay reports "<told>"
 
     Examples:
       | beats            | now  | told |
--- a/packages/coordination/tests/homes.steps.ts
+++ b/packages/coordination/tests/homes.steps.ts
@@ -17,14 +17,14 @@
 interface HomesWorld {
   hosts: readonly HostId[];
   groups: number;
-  part: number;
+  zoneShare: number;
   homesPerGroup: number;
   oldAndNew: readonly number[];
   views: readonly (readonly Member[])[];
-  told: readonly Member[];
+  expired: readonly Member[];
 }
 
-const SURRENDER_MS = 5000;
+const RELEASE_MS = 5000;
 const EXPIRE_MS = 3500;
 
 Given(
@@ -55,16 +55,16 @@
 );
 
 Given(
-  "a zone's part of {int} connections and {int} homes a group",
+  "a zone's share of {int} connections and {int} homes a group",
   function (this: HomesWorld, part: number, homesPerGroup: number) {
-    this.part = part;
+    this.zoneShare = part;
     this.homesPerGroup = homesPerGroup;
   },
 );
 
 When('both homes are replaced at once and old and new serve together', function (this: HomesWorld) {
-  const old = partAfter(this, SURRENDER_MS * 10);
-  const fresh = partAfter(this, 0);
+  const old = shareAfter(this, RELEASE_MS * 10);
+  const fresh = shareAfter(this, 0);
   this.oldAndNew = [old, old, fresh, fresh];
 });
 
@@ -78,9 +78,9 @@
 );
 
 Then(
-  'a home of {int} s has less than one of {int} s when surrender takes 5 s',
+  'a home of {int} s has less than one of {int} s when releasing a slot takes 5 s',
   function (this: HomesWorld, young: number, old: number) {
-    assert.ok(partAfter(this, young * 1000) < partAfter(this, old * 1000));
+    assert.ok(shareAfter(this, young * 1000) < shareAfter(this, old * 1000));
   },
 );
 
@@ -96,30 +96,30 @@
 });
 
 When(
-  'a host beats at {string} and the relay judges at {int}',
-  function (this: HomesWorld, beats: string, now: number) {
-    let heard: TrackedMember | undefined;
-    for (const at of beats.split(', ').map(Number)) {
-      heard = applyHeartbeat(heard, memberOf(1, MemberState.Live), at).heard;
+  'a host sends heartbeats at {string} and the relay checks at {int}',
+  function (this: HomesWorld, heartbeats: string, now: number) {
+    let tracked: TrackedMember | undefined;
+    for (const at of heartbeats.split(', ').map(Number)) {
+      tracked = applyHeartbeat(tracked, memberOf(1, MemberState.Live), at).heard;
     }
-    this.told = heard === undefined ? [] : expiredMembers([heard], now, EXPIRE_MS);
+    this.expired = tracked === undefined ? [] : expiredMembers([tracked], now, EXPIRE_MS);
   },
 );
 
-Then('the relay tells {string}', function (this: HomesWorld, told: string) {
-  assert.equal(this.told.map((member) => member.state).join(', '), told);
+Then('the relay reports {string}', function (this: HomesWorld, told: string) {
+  assert.equal(this.expired.map((member) => member.state).join(', '), told);
 });
 
 Then(
-  'a zone of {int} beats every {int} ms with base {int} and expiry {int}',
+  'a zone of {int} hosts sends heartbeats every {int} ms with base {int} and expiry {int}',
   (members: number, interval: number, base: number, expiry: number) => {
     assert.equal(Math.round(heartbeatIntervalMs(base, members, expiry)), interval);
   },
 );
 
-function partAfter(world: HomesWorld, now: number): number {
-  const rules = { homesPerGroup: world.homesPerGroup, releaseTimeoutMs: SURRENDER_MS };
-  return homeShare(world.part, { since: 0, handedOver: false }, rules, now);
+function shareAfter(world: HomesWorld, now: number): number {
+  const rules = { homesPerGroup: world.homesPerGroup, releaseTimeoutMs: RELEASE_MS };
+  return homeShare(world.zoneShare, { since: 0, handedOver: false }, rules, now);
 }
 
 function memberOf(incarnation: number, state: MemberState): Member {
--- a/packages/coordination/tests/near-homes.steps.ts
+++ b/packages/coordination/tests/near-homes.steps.ts
@@ -54,7 +54,7 @@
 );
 
 Given(
-  'upstreams in zones {string} that allow {int} connections and {int} more from afar',
+  'upstreams in zones {string} that allow {int} connections and {int} more from other regions',
   function (this: NearHomesWorld, zones: string, usable: number, farUsable: number) {
     this.upstreamZones = new Set(namesOf(zones).map(azId));
     const { upstreamZones } = this;
@@ -90,7 +90,7 @@
 );
 
 Then(
-  'a host asks homes of zones {string} in this order for work done in zone {string}',
+  'a host asks homes of zones {string} in this order for work in zone {string}',
   function (this: NearHomesWorld, order: string, zone: string) {
     const homes = homesNear(this.plan, azId(zone), hostId('asker'), this.topology);
     const azOf = (host: HostId): string => host.split('-')[0] ?? '';
@@ -118,18 +118,18 @@
 
 Then(
   'the last of them waits {int} ms, and {int} ms where each zone has homes of its own',
-  function (this: NearHomesWorld, waitMs: number, formerMs: number) {
+  function (this: NearHomesWorld, waitMs: number, evenMs: number) {
     const { plan, callersAz, upstreamAz } = this;
     const near = plan.homes.get(upstreamAz) ?? [];
     assert.equal(lastWait(this, near.length * connectionsOf(plan, upstreamAz, upstreamAz)), waitMs);
-    const room = { connections: CONNECTIONS, slots: SLOTS, workspaces: 0 };
-    const even = planHomes(GROUP, this.zones, room);
+    const capacity = { connections: CONNECTIONS, slots: SLOTS, workspaces: 0 };
+    const even = planHomes(GROUP, this.zones, capacity);
     const own = even.homes.get(callersAz) ?? [];
-    assert.equal(lastWait(this, own.length * even.connectionsPerHome), formerMs);
+    assert.equal(lastWait(this, own.length * even.connectionsPerHome), evenMs);
   },
 );
 
-/** How long the last transaction waits for one of `connections`, milliseconds. */
+/** Time for which the last transaction waits for one of `connections`, milliseconds. */
 function lastWait({ transactions, holdMs }: NearHomesWorld, connections: number): number {
   return Math.floor((transactions - 1) / connections) * holdMs;
 }
--- a/packages/coordination/tests/notation.ts
+++ b/packages/coordination/tests/notation.ts
@@ -1,10 +1,10 @@
 /**
- * Short notation of reports, lineages and records in feature tables.
+ * Parsers of the short notation of reports, lineages and records in feature tables.
  */
 import type { GroupRecord, Lineage, TimedReport, UpstreamReport } from '../src/index.js';
 import { groupId, GroupPhase, hostId, upstreamId, UpstreamRole } from '../src/index.js';
 
-/** `1:0, 2:10` as a lineage. */
+/** Parses a lineage such as `1:0, 2:10`. */
 export function parseLineage(text: string): Lineage {
   return text.split(', ').map((pair) => {
     const [term, start] = pair.split(':').map(Number);
@@ -12,7 +12,10 @@
   });
 }
 
-/** `a:1/10!2, b:1/9` as reports; `~8` sets the applied offset, `*` the primary role. */
+/**
+ * Parses reports such as `a:1/10!2, b:1/9`; `!2` sets the fenced term, `~8` the applied offset, `*`
+ * the primary role.
+ */
 export function parseReports(text: string): readonly UpstreamReport[] {
   if (text === '') return [];
   return text.split(', ').map(parseReport);
@@ -33,7 +36,7 @@
   };
 }
 
-/** Reports with the time at which their query was sent: `a:1/10@50!2`. */
+/** Parses reports with the time at which their query was sent, such as `a:1/10@50!2`. */
 export function parseTimedReports(text: string): readonly TimedReport[] {
   if (text === '') return [];
   return text.split(', ').map((part) => {
@@ -44,7 +47,7 @@
   });
 }
 
-/** A serving record of the lineage's last term. */
+/** A serving record of the last term of the lineage. */
 export function recordWith(lineage: Lineage): GroupRecord {
   return {
     group: groupId('g'),
--- a/packages/coordination/tests/primary-gap.feature
+++ b/packages/coordination/tests/primary-outage.feature
@@ -1,8 +1,8 @@
 Feature: When a group without a usable primary is expected to have one again
 
-  Scenario Outline: The expectation follows from what is known
+  Scenario Outline: The expected end of an outage depends on its known causes
     Given promotions that take 1000 ms
-    And a gap known by "<known>"
+    And an outage known by "<known>"
     Then at <now> ms the primary is expected at <expected> ms
 
     # known = what:since; suspicion takes 500 ms, a renewal 250 ms
@@ -20,7 +20,7 @@
       | unproven:200,claimed:100 | 300  | 1100     | both have to be over                                    |
       | nothing                  | 300  | 500      | a write hold, or a record that has not been read so far |
 
-  Scenario Outline: A statement waits only for what is expected in time
+  Scenario Outline: A statement waits only for a primary that is expected in time
     Given a statement of 800 ms that arrived at 1000 ms
     Then it <does> for a primary expected at <expected> ms
 
@@ -31,7 +31,7 @@
       | 1610     | is refused | its caller does better to come back   |
       | 4000     | is refused | at once, not when its time is used up |
 
-  Scenario Outline: The usual time of a promotion is learned
+  Scenario Outline: The average promotion time follows observed promotions
     Given promotions that take <before> ms
     When one takes <took> ms
     Then promotions are expected to take <after> ms
--- a/packages/coordination/tests/primary-gap.steps.ts
+++ b/packages/coordination/tests/primary-outage.steps.ts
@@ -8,18 +8,18 @@
   updatedPromotionMs,
 } from '../src/index.js';
 
-interface GapWorld {
+interface OutageWorld {
   promotionMs: number;
   view: OutageView;
   arrivedAt: number;
   timeoutMs: number;
 }
 
-Given('promotions that take {int} ms', function (this: GapWorld, promotionMs: number) {
+Given('promotions that take {int} ms', function (this: OutageWorld, promotionMs: number) {
   this.promotionMs = promotionMs;
 });
 
-Given('a gap known by {string}', function (this: GapWorld, known: string) {
+Given('an outage known by {string}', function (this: OutageWorld, known: string) {
   const since = new Map(
     known.split(',').map((fact) => {
       const [what, at] = fact.split(':');
@@ -35,15 +35,15 @@
 
 Then(
   'at {int} ms the primary is expected at {int} ms',
-  function (this: GapWorld, now: number, expected: number) {
-    const pace = { promotionMs: this.promotionMs, ...DEFAULT_OUTAGE_ESTIMATES };
-    assert.equal(expectedOutageEnd(this.view, pace, now), expected);
+  function (this: OutageWorld, now: number, expected: number) {
+    const estimates = { promotionMs: this.promotionMs, ...DEFAULT_OUTAGE_ESTIMATES };
+    assert.equal(expectedOutageEnd(this.view, estimates, now), expected);
   },
 );
 
 Given(
   'a statement of {int} ms that arrived at {int} ms',
-  function (this: GapWorld, timeoutMs: number, arrivedAt: number) {
+  function (this: OutageWorld, timeoutMs: number, arrivedAt: number) {
     this.timeoutMs = timeoutMs;
     this.arrivedAt = arrivedAt;
   },
@@ -51,16 +51,16 @@
 
 Then(
   /^it (waits|is refused) for a primary expected at (\d+) ms$/,
-  function (this: GapWorld, does: string, expected: string) {
+  function (this: OutageWorld, does: string, expected: string) {
     const holds = shouldHoldStatement(Number(expected), this.arrivedAt, this.timeoutMs);
     assert.equal(holds, does === 'waits');
   },
 );
 
-When('one takes {int} ms', function (this: GapWorld, tookMs: number) {
+When('one takes {int} ms', function (this: OutageWorld, tookMs: number) {
   this.promotionMs = updatedPromotionMs(this.promotionMs, tookMs);
 });
 
-Then('promotions are expected to take {int} ms', function (this: GapWorld, expected: number) {
+Then('promotions are expected to take {int} ms', function (this: OutageWorld, expected: number) {
   assert.equal(this.promotionMs, expected);
 });
--- a/packages/coordination/tests/promotion.feature
+++ b/packages/coordination/tests/promotion.feature
@@ -1,11 +1,11 @@
-Feature: Each step of a promotion survives lost replies, rivals and the death of the promoter
+Feature: Each step of a promotion tolerates lost replies, rivals and the failure of the promoter
 
   Background:
     Given a promotion of group "a, b, c" from term 1
 
   Scenario Outline: Outcomes at each step
     When the events are "<events>"
-    Then the attempt is "<stage>" and asked for "<actions>"
+    Then the attempt is "<stage>" after the actions "<actions>"
 
     Examples:
       | events                                                     | stage      | actions                                              | moment                                   |
@@ -29,8 +29,8 @@
       | swapped, read mine, fenced a 1/12, fenced b 1/9, fenced c 1/7 | promoting | swap, read-record, fence, promote b               | the suspect is not chosen again          |
       | swapped, read mine, fenced a 1/12, fenced b 1/9, grace-over | promoting | swap, read-record, fence, promote a                  | no majority without it: better than none |
 
-  Scenario Outline: Terms that the store's record does not tell of
-    When it begins anew, with upstreams that are fenced at term <fenced>
+  Scenario Outline: Terms that are missing from the record in the store
+    When it is started again, with upstreams that are fenced at term <fenced>
     Then it claims term <term>
 
     Examples:
--- a/packages/coordination/tests/promotion.steps.ts
+++ b/packages/coordination/tests/promotion.steps.ts
@@ -14,7 +14,7 @@
 });
 
 When(
-  'it begins anew, with upstreams that are fenced at term {int}',
+  'it is started again, with upstreams that are fenced at term {int}',
   function (this: PromotionWorld, fencedTerm: number) {
     begin(this, 'a, b, c', fencedTerm);
   },
@@ -47,7 +47,7 @@
 });
 
 Then(
-  'the attempt is {string} and asked for {string}',
+  'the attempt is {string} after the actions {string}',
   function (this: PromotionWorld, stage: string, actions: string) {
     assert.equal(this.state.stage, stage);
     assert.equal(this.actions.map(describe).join(', '), actions);
--- a/packages/coordination/tests/reach-sample.steps.ts
+++ b/packages/coordination/tests/reach-sample.steps.ts
@@ -53,7 +53,7 @@
   assert.equal(new Set(first.map((host) => zoneOf(this, host))).size, first.length);
 });
 
-Then('every home is asked but itself', function (this: SampleWorld) {
+Then('every home except the asker is asked', function (this: SampleWorld) {
   const homes = [...this.homes.values()].flat().filter((host) => host !== this.asker);
   assert.ok(homes.every((host) => this.sample.includes(host)));
 });
--- a/packages/coordination/tests/read-routing.steps.ts
+++ b/packages/coordination/tests/read-routing.steps.ts
@@ -26,7 +26,7 @@
   served: Map<string, number>;
 }
 
-const NEED: ReadRequirements = {
+const REQUIREMENTS: ReadRequirements = {
   floor: ORIGIN,
   barrier: false,
   maxAgeMs: undefined,
@@ -69,16 +69,16 @@
 When(
   'a session that has seen term {int} offset {int} reads',
   function (this: RoutingWorld, term: number, offset: number) {
-    this.choice = choose(this, { ...NEED, floor: { term, offset } });
+    this.choice = choose(this, { ...REQUIREMENTS, floor: { term, offset } });
   },
 );
 
 When('a resumed session without a token reads', function (this: RoutingWorld) {
-  this.choice = choose(this, { ...NEED, barrier: true });
+  this.choice = choose(this, { ...REQUIREMENTS, barrier: true });
 });
 
 When('a read tolerates data of {int} ms', function (this: RoutingWorld, maxAgeMs: number) {
-  this.choice = choose(this, { ...NEED, maxAgeMs });
+  this.choice = choose(this, { ...REQUIREMENTS, maxAgeMs });
 });
 
 When(
@@ -87,7 +87,7 @@
     const random = new SeededRandom(seed);
     this.served = new Map();
     for (let i = 0; i < count; i += 1) {
-      const choice = choose(this, NEED, random);
+      const choice = choose(this, REQUIREMENTS, random);
       if (choice.kind !== 'use') continue;
       this.served.set(choice.upstream, (this.served.get(choice.upstream) ?? 0) + 1);
     }
--- a/packages/coordination/tests/reads-and-room.feature
+++ b/packages/coordination/tests/reads-and-capacity.feature
@@ -1,11 +1,11 @@
-Feature: Marks behind which reads run, the choice of an upstream, and room at upstreams
+Feature: Watermarks that reads require, the choice of an upstream, and the capacity of upstreams
 
-  Scenario Outline: A read runs behind the oldest mark that is young enough
-    Given marks "<marks>" under epoch 2
+  Scenario Outline: A read requires the oldest watermark that is recent enough
+    Given watermarks "<marks>" under epoch 2
     When a read begun at <began> ms accepts data <stale> ms old, its session having committed "<own>"
-    Then it runs behind "<floor>"
+    Then it requires position "<floor>"
 
-    # mark = sentAt:term.position; own = epoch:term.position
+    # watermark = sentAt:term.position; own = epoch:term.position
     Examples:
       | marks                   | began | stale | own   | floor | why                                        |
       | 100:1.5,200:1.8,300:1.9 | 350   | 1500  | none  | 1.5   | the oldest allowed: most replicas have it  |
@@ -15,7 +15,7 @@
       | 100:1.5,200:1.8         | 350   | 1500  | 1:1.7 | 1.5   | a commit of an earlier epoch needs no more |
       | 100:1.5,110:1.6         | 350   | 1500  | none  | 1.5   | marks closer than 20 ms are not kept       |
 
-  Scenario Outline: The near upstream serves in comfort, else the one with the least expected time
+  Scenario Outline: The near upstream serves if it is fast enough for the target latency, else the one with the lowest expected time
     Given upstreams loaded "<loads>"
     Then a read at 1000 ms goes to "<chosen>"
 
@@ -35,7 +35,7 @@
       | a:primary:1:20:0:near,c:replica:0:20    | c      | a near primary that has work         |
       | b:replica:4:20:0:near,c:replica:9:20    | b      | a far one would be slower still      |
 
-  Scenario Outline: Connections are split over few homes, or over all hosts
+  Scenario Outline: Connections are divided among a few homes or among all hosts
     Given <zones> zones of <hosts> hosts and upstreams of <connections> connections and <slots> slots
     Then each zone has <homes> homes of <each> connections
 
@@ -62,9 +62,9 @@
 
   Scenario: Workspaces spread over the homes of all zones
     Given 78 workspaces, 3 zones of 24 hosts and upstreams of 29 connections
-    Then the first homes of 78 workspaces lie in 3 zones, and the next ones elsewhere
+    Then the first homes of 78 workspaces are in 3 zones, and the next ones in others
 
-  Scenario Outline: A read goes where its workspace has a free connection
+  Scenario Outline: A read goes to an upstream with a free connection of its workspace
     Given upstreams loaded "<loads>"
     Then a read at 1000 ms goes to "<chosen>"
 
--- a/packages/coordination/tests/reads-and-room.steps.ts
+++ b/packages/coordination/tests/reads-and-capacity.steps.ts
@@ -26,7 +26,7 @@
 } from '../src/index.js';
 
 interface ReadWorld {
-  marks: WatermarkLog;
+  watermarks: WatermarkLog;
   floor: Position | undefined;
   loads: readonly UpstreamLoad[];
   plan: HomePlan;
@@ -40,18 +40,18 @@
   return { term: term ?? 0, offset: offset ?? 0 };
 }
 
-Given('marks {string} under epoch 2', function (this: ReadWorld, marks: string) {
-  this.marks = new WatermarkLog(EPOCH);
+Given('watermarks {string} under epoch 2', function (this: ReadWorld, marks: string) {
+  this.watermarks = new WatermarkLog(EPOCH);
   for (const mark of marks.split(',')) {
     const [sentAt, position] = mark.split(':');
-    this.marks.add({ sentAt: Number(sentAt), position: positionOf(position ?? '') });
+    this.watermarks.add({ sentAt: Number(sentAt), position: positionOf(position ?? '') });
   }
 });
 
 When(
   'a read begun at {int} ms accepts data {int} ms old, its session having committed {string}',
   function (this: ReadWorld, began: number, stale: number, own: string) {
-    const mark = this.marks.oldestSince(began - stale);
+    const mark = this.watermarks.oldestSince(began - stale);
     const [epoch, position] = own.split(':');
     const committed =
       own === 'none' ? undefined : { epoch: Number(epoch), position: positionOf(position ?? '') };
@@ -59,7 +59,7 @@
   },
 );
 
-Then('it runs behind {string}', function (this: ReadWorld, floor: string) {
+Then('it requires position {string}', function (this: ReadWorld, floor: string) {
   const found = this.floor === undefined ? 'none' : `${this.floor.term}.${this.floor.offset}`;
   assert.equal(found, floor);
 });
@@ -86,12 +86,12 @@
   assert.equal(chooseUpstream(this.loads, TARGET_LATENCY_MS, now, random), id);
 });
 
-function planFor(zones: number, hosts: number, room: UpstreamCapacity): HomePlan {
+function planFor(zones: number, hosts: number, capacity: UpstreamCapacity): HomePlan {
   const listed = Array.from({ length: zones * hosts }, (_, index) => ({
     host: hostId(`h${index}`),
     az: azId(`z${index % zones}`),
   }));
-  return planHomes(groupId('g'), hostsByZone(listed), room);
+  return planHomes(groupId('g'), hostsByZone(listed), capacity);
 }
 
 Given(
@@ -109,7 +109,7 @@
 );
 
 Then(
-  'the first homes of {int} workspaces lie in {int} zones, and the next ones elsewhere',
+  'the first homes of {int} workspaces are in {int} zones, and the next ones in others',
   function (this: ReadWorld, count: number, zones: number) {
     const azOf = (host: HostId): AzId | undefined =>
       [...this.plan.homes].find(([, homes]) => homes.includes(host))?.[0];
--- a/packages/coordination/tests/region-order.feature
+++ b/packages/coordination/tests/region-order.feature
@@ -1,9 +1,9 @@
-Feature: Who acts where a deployment lies in several regions
+Feature: Which hosts act in a deployment of several regions
 
-  Scenario Outline: The region where most of a group's upstreams stand
+  Scenario Outline: The region with most of a group's upstreams
     Given the regions "<regions>"
-    When upstreams stand in zones "<upstreams>"
-    Then most of them stand in region "<region>"
+    When upstreams are in zones "<upstreams>"
+    Then most of them are in region "<region>"
 
     # regions = zone:region
     Examples:
@@ -21,7 +21,7 @@
   Scenario Outline: A few hosts of the group's region act before all others
     Given the regions "a1:a,b1:b"
     When hosts ranked "<ranked>" act on a group of region "<region>"
-    Then they take their turns as "<order>"
+    Then the order is "<order>"
 
     # host = zone of the host, and a number
     Examples:
@@ -32,10 +32,10 @@
       | a1-1,b1-1                     | none   | a1-1,b1-1                     | as many upstreams in each region |
       | a1-1,a1-2                     | b      | a1-1,a1-2                     | no host is listed there          |
 
-  # Guards against late hosts that all open links to other regions.
-  Scenario Outline: Whose hosts a host of zone "a1" asks that is late
+  # Guards against hosts with overdue proofs that all open links to other regions.
+  Scenario Outline: Zones whose hosts are asked by a host of zone "a1" with an overdue proof
     Given the regions "<regions>"
-    Then at an age of <age> ms it asks among hosts of zones "<asked>" of "a1,a2,b1,x1"
+    Then at a proof age of <age> ms it asks hosts of zones "<asked>" out of "a1,a2,b1,x1"
 
     Examples:
       | regions        | age | asked       | why                              |
--- a/packages/coordination/tests/region-order.steps.ts
+++ b/packages/coordination/tests/region-order.steps.ts
@@ -18,17 +18,17 @@
 }
 
 Given('the regions {string}', function (this: RegionWorld, regions: string) {
-  const told = regions === 'none' ? [] : regions.split(',').map((each) => each.split(':'));
+  const pairs = regions === 'none' ? [] : regions.split(',').map((each) => each.split(':'));
   this.topology = new Topology(
-    new Map(told.map(([az, region]) => [azId(az ?? ''), regionId(region ?? '')] as const)),
+    new Map(pairs.map(([az, region]) => [azId(az ?? ''), regionId(region ?? '')] as const)),
   );
 });
 
-When('upstreams stand in zones {string}', function (this: RegionWorld, zones: string) {
+When('upstreams are in zones {string}', function (this: RegionWorld, zones: string) {
   this.zones = zones.split(',').map(azId);
 });
 
-Then('most of them stand in region {string}', function (this: RegionWorld, region: string) {
+Then('most of them are in region {string}', function (this: RegionWorld, region: string) {
   assert.equal(dominantRegion(this.zones, this.topology) ?? 'none', region);
 });
 
@@ -46,12 +46,12 @@
   },
 );
 
-Then('they take their turns as {string}', function (this: RegionWorld, order: string) {
+Then('the order is {string}', function (this: RegionWorld, order: string) {
   assert.equal(this.order.join(','), order);
 });
 
 Then(
-  'at an age of {int} ms it asks among hosts of zones {string} of {string}',
+  'at a proof age of {int} ms it asks hosts of zones {string} out of {string}',
   function (this: RegionWorld, ageMs: number, asked: string, zones: string) {
     const all = zones.split(',').map(azId);
     const found = fallbackZones(azId('a1'), all, this.topology, ageMs);
--- a/packages/coordination/tests/renewal-order.feature
+++ b/packages/coordination/tests/renewal-order.feature
@@ -1,9 +1,9 @@
-Feature: When a host asks all others to renew its proof
+Feature: When a host asks all other hosts to renew its proof
 
-  Proofs live 1 s. One host asks first, the others one after the other while no proof has come.
+  Proofs are valid for 1 s. One host starts a round first, the others one after the other while no proof has arrived.
 
-  Scenario Outline: The age of its proof from which a host asks
-    Then the host of place <rank> in zone <zone> asks from an age of <age> ms on
+  Scenario Outline: The proof age at which a host starts a round
+    Then the host of rank <rank> in zone <zone> starts a round at a proof age of <age> ms
 
     Examples:
       | zone | rank | age  | why                                                  |
@@ -14,8 +14,8 @@
       | 17   | 0    | 890  | more zones than steps                                |
       | 0    | 5    | 1150 | later hosts only after their proofs have run out     |
 
-  Scenario Outline: Hosts of several regions ask earlier, since the others are farther away
-    Then the host of place <rank> in zone <zone> of several regions asks from an age of <age> ms on
+  Scenario Outline: Hosts start rounds earlier in a deployment of several regions, since links take longer
+    Then the host of rank <rank> in zone <zone> of several regions starts a round at a proof age of <age> ms
 
     Examples:
       | zone | rank | age  | why                                                |
@@ -25,7 +25,7 @@
       | 0    | 5    | 1050 | later hosts only after their proofs have run out   |
 
   Scenario Outline: The time between two rounds
-    Then after <failed> failed rounds place <rank> pauses for "<pause>" ms, <state>
+    Then after <failed> failed rounds rank <rank> waits for "<pause>" ms, <state>
 
     Examples:
       | rank | failed | state      | pause    | why                                     |
@@ -36,9 +36,9 @@
       | 3    | 0      | isolated   | 3000     |                                         |
       | 38   | 0      | isolated   | 108000   | a zone of 39 does not ask all at once   |
 
-  Scenario Outline: Rounds of a whole fleet while nobody answers
-    Given <zones> zones of <hosts> hosts whose proofs have run out
-    Then they begin at most <rounds> rounds a second together
+  Scenario Outline: Rounds of a whole fleet while no host answers
+    Given <zones> zones of <hosts> hosts whose proofs have expired
+    Then they start at most <rounds> rounds per second together
 
     Examples:
       | zones | hosts | rounds | why                                        |
--- a/packages/coordination/tests/renewal-order.steps.ts
+++ b/packages/coordination/tests/renewal-order.steps.ts
@@ -8,25 +8,25 @@
 }
 
 const MS_PER_S = 1000;
-/** Rounds in a row without an answer after which the pause grows no more. */
+/** Number of consecutive failed rounds after which the interval no longer grows. */
 const MANY_FAILED = 10;
 
 Then(
-  'the host of place {int} in zone {int} asks from an age of {int} ms on',
+  'the host of rank {int} in zone {int} starts a round at a proof age of {int} ms',
   function (rank: number, zone: number, ageMs: number) {
     assert.equal(renewalDueAge({ zone, rank }), ageMs);
   },
 );
 
 Then(
-  'the host of place {int} in zone {int} of several regions asks from an age of {int} ms on',
+  'the host of rank {int} in zone {int} of several regions starts a round at a proof age of {int} ms',
   function (rank: number, zone: number, ageMs: number) {
     assert.equal(renewalDueAge({ zone, rank }, true), ageMs);
   },
 );
 
 Then(
-  /^after (\d+) failed rounds place (\d+) pauses for "(\w+)" ms, (proven|isolated)$/,
+  /^after (\d+) failed rounds rank (\d+) waits for "(\w+)" ms, (proven|isolated)$/,
   function (failed: string, rank: string, pauseMs: string, state: string) {
     const place = { zone: 0, rank: Number(rank) };
     assert.equal(renewalIntervalMs(place, Number(failed), state === 'isolated'), Number(pauseMs));
@@ -34,7 +34,7 @@
 );
 
 Given(
-  '{int} zones of {int} hosts whose proofs have run out',
+  '{int} zones of {int} hosts whose proofs have expired',
   function (this: RenewalWorld, zones: number, hosts: number) {
     this.zones = zones;
     this.hosts = hosts;
@@ -42,7 +42,7 @@
 );
 
 Then(
-  'they begin at most {int} rounds a second together',
+  'they start at most {int} rounds per second together',
   function (this: RenewalWorld, most: number) {
     let rounds = 0;
     for (let zone = 0; zone < this.zones; zone += 1) {
--- a/packages/coordination/tests/retry-budget.feature
+++ b/packages/coordination/tests/retry-budget.feature
@@ -1,6 +1,6 @@
-Feature: Retries stay a share of traffic
+Feature: Retries are limited to a share of the traffic
 
-  Scenario Outline: Requests that all fail and want one retry each
+  Scenario Outline: All requests fail and ask for one retry each
     When <requests> requests want a retry each with share <share> and burst <burst>
     Then <granted> retries are granted
 
--- a/packages/coordination/tests/store-position.feature
+++ b/packages/coordination/tests/store-position.feature
@@ -1,6 +1,6 @@
-Feature: Places in the history of the metadata store
+Feature: Positions in the history of the metadata store
 
-  Scenario Outline: Which of two positions is the later one
+  Scenario Outline: The later of two positions
     Given the positions <one> and <other> of the store
     Then the later one is <later>
 
--- a/packages/coordination/tests/suspicion.feature
+++ b/packages/coordination/tests/suspicion.feature
@@ -1,14 +1,14 @@
-Feature: A primary is suspect when no write could be confirmed, on virtual time
+Feature: A primary is suspected when no write could be confirmed, on virtual time
 
   Background:
     Given a group of upstreams "a, b, c" whose lineage is "1:0"
 
-  Scenario Outline: What a home has seen at time 2000 with suspicion after 1000 ms
-    Given the home watches since 0 and noted the primary at "<marks>"
+  Scenario Outline: Observations of a home at time 2000, with suspicion after 1000 ms
+    Given the home has monitored the term since 0 and recorded watermarks "<marks>"
     And at time 2000 the timed reports are "<reports>"
     Then the primary is <verdict>
 
-    # mark = offset@time sent; report = upstream:term/offset@time sent
+    # watermark = offset@time sent; report = upstream:term/offset@time sent
     Examples:
       | marks           | reports                              | verdict     | case                                   |
       | 5@1900, 6@1990  | a:1/6@1990, b:1/6@1990, c:1/6@1990   | not suspect | all is well                            |
@@ -18,8 +18,8 @@
       | 5@900, 5@1990   | a:1/5@1990, b:1/5@900, c:1/5@900     | suspect     | cut off with its home from the others  |
       | 5@900, 6@1990   | a:1/6@1990, b:1/5@1990!2, c:1/5@1990!2 | suspect   | superseded, this home does not know    |
 
-  Scenario: A home that has just begun to watch waits its time
-    Given the home watches since 1500 and noted the primary at ""
+  Scenario: A home that has just begun to monitor does not suspect yet
+    Given the home has monitored the term since 1500 and recorded watermarks ""
     And at time 2000 the timed reports are ""
     Then the primary is not suspect
 
@@ -33,5 +33,5 @@
       | az2, az3   | agreed     |
       |            | not agreed |
 
-  Scenario: A group promoted lately needs longer suspicion
+  Scenario: After a recent promotion a suspicion has to last longer
     Then at time 10000 suspicion must last 1000 ms, and 2000 ms after a promotion at 5000
--- a/packages/coordination/tests/suspicion.steps.ts
+++ b/packages/coordination/tests/suspicion.steps.ts
@@ -27,10 +27,10 @@
 const SUSPECT_AFTER_MS = 1000;
 
 Given(
-  'the home watches since {int} and noted the primary at {string}',
+  'the home has monitored the term since {int} and recorded watermarks {string}',
   function (this: SuspicionWorld, since: number, marks: string) {
     this.since = since;
-    this.marks = marks === '' ? [] : marks.split(', ').map(markOf);
+    this.marks = marks === '' ? [] : marks.split(', ').map(watermarkOf);
   },
 );
 
@@ -75,8 +75,8 @@
   (suspecting: string, zones: string, agreed: string) => {
     const list = zones.split(', ').map(azId);
     const named = suspecting.split(', ');
-    const opinions = list.map((az) => ({ az, suspects: named.includes(az) }));
-    assert.equal(isSuspectedByMajority(list, opinions) ? 'agreed' : 'not agreed', agreed);
+    const votes = list.map((az) => ({ az, suspects: named.includes(az) }));
+    assert.equal(isSuspectedByMajority(list, votes) ? 'agreed' : 'not agreed', agreed);
   },
 );
 
@@ -88,7 +88,7 @@
   },
 );
 
-function markOf(text: string): PrimaryWatermark {
+function watermarkOf(text: string): PrimaryWatermark {
   const [offset, at] = text.split('@').map(Number);
   return { sentAt: at ?? 0, position: { term: 1, offset: offset ?? 0 } };
 }
--- a/packages/coordination/tests/upstream-lapse.feature
+++ b/packages/coordination/tests/upstream-expiry.feature
@@ -1,7 +1,7 @@
-Feature: Upstreams whose entries have vanished from the store
+Feature: Upstreams whose entries have disappeared from the store
 
-  Scenario Outline: An upstream without an entry is left in two steps
-    Given upstreams that take work for <serves on> ms after they are known to leave
+  Scenario Outline: An upstream without an entry is taken out of use in two steps
+    Given upstreams that accept work for <serves on> ms after they are known to leave
     Then one whose entry has been missing for <missing> ms counts as "<stage>"
 
     Examples:
--- a/packages/coordination/tests/upstream-identity.feature
+++ b/packages/coordination/tests/upstream-identity.feature
@@ -1,8 +1,8 @@
-Feature: Which entries tell of the same upstream
+Feature: Which entries describe the same upstream
 
-  Scenario Outline: Births are compared where both are told
-    Given a record that names an upstream born at "<known>"
-    When its entry tells that it was born at "<told>"
+  Scenario Outline: Start times are compared if both are known
+    Given a record that names an upstream started at "<known>"
+    When its entry reports the start time "<told>"
     Then it is <which> upstream, which <may> be used as the primary
 
     Examples:
@@ -15,10 +15,10 @@
       | 100   |      | the same    | may     | it no longer tells                   |
       |       |      | the same    | may     | births are not told here             |
 
-  Scenario Outline: An entry without a birth keeps the one known
-    Given an entry of an upstream born at "<known>"
-    When its next entry tells a birth at "<told>"
-    Then the birth known is "<birth>"
+  Scenario Outline: An entry without a start time keeps the known one
+    Given an entry of an upstream started at "<known>"
+    When its next entry reports the start time "<told>"
+    Then the known start time is "<birth>"
 
     Examples:
       | known | told | birth |
@@ -30,9 +30,9 @@
       | none  |      |       |
       | none  | 100  | 100   |
 
-  Scenario Outline: A primary that tells less than before under one epoch has lost its log
-    Given a primary that told the positions "<seen>" under epoch 3
-    When it tells "<told>" under epoch <epoch>
+  Scenario Outline: A primary that reports an earlier position than before in one epoch has lost its log
+    Given a primary that reported the positions "<seen>" under epoch 3
+    When it reports "<told>" under epoch <epoch>
     Then it <has> lost its log
 
     Examples:
--- a/packages/coordination/tests/upstream-identity.steps.ts
+++ b/packages/coordination/tests/upstream-identity.steps.ts
@@ -16,14 +16,14 @@
 
 interface IdentityWorld {
   known: UpstreamIdentity | undefined;
-  told: UpstreamIdentity;
-  marks: WatermarkLog;
+  reported: UpstreamIdentity;
+  watermarks: WatermarkLog;
   position: Position | undefined;
 }
 
 const ID = upstreamId('u1');
 
-function upstreamBornAt(text: string): UpstreamIdentity {
+function upstreamStartedAt(text: string): UpstreamIdentity {
   const born: StartTime = text === '' ? undefined : Number(text);
   return { id: ID, born };
 }
@@ -34,21 +34,21 @@
 }
 
 Given(
-  'a record that names an upstream born at {string}',
+  'a record that names an upstream started at {string}',
   function (this: IdentityWorld, born: string) {
-    this.known = upstreamBornAt(born);
+    this.known = upstreamStartedAt(born);
   },
 );
 
-When('its entry tells that it was born at {string}', function (this: IdentityWorld, born: string) {
-  this.told = upstreamBornAt(born);
+When('its entry reports the start time {string}', function (this: IdentityWorld, born: string) {
+  this.reported = upstreamStartedAt(born);
 });
 
 Then(
   /^it is (the same|another) upstream, which (may|may not) be used as the primary$/,
   function (this: IdentityWorld, which: string, may: string) {
     assert.ok(this.known);
-    assert.equal(mayBeSameUpstream(this.known, this.told), which === 'the same');
+    assert.equal(mayBeSameUpstream(this.known, this.reported), which === 'the same');
     const record: PrimaryRecord = {
       group: groupId('g'),
       epoch: 1,
@@ -57,42 +57,45 @@
       born: this.known.born,
       holder: hostId('h'),
     };
-    const view = { record, provedAt: 0, primaryStartTime: this.told.born };
+    const view = { record, provedAt: 0, primaryStartTime: this.reported.born };
     assert.equal(hasAuthority(view, 0, DEFAULT_AUTHORITY), may === 'may');
   },
 );
 
-Given('an entry of an upstream born at {string}', function (this: IdentityWorld, born: string) {
-  this.known = born === 'none' ? undefined : upstreamBornAt(born);
+Given('an entry of an upstream started at {string}', function (this: IdentityWorld, born: string) {
+  this.known = born === 'none' ? undefined : upstreamStartedAt(born);
 });
 
-When('its next entry tells a birth at {string}', function (this: IdentityWorld, born: string) {
-  this.told = withKnownStartTime(this.known, upstreamBornAt(born));
-});
+When(
+  'its next entry reports the start time {string}',
+  function (this: IdentityWorld, born: string) {
+    this.reported = withKnownStartTime(this.known, upstreamStartedAt(born));
+  },
+);
 
-Then('the birth known is {string}', function (this: IdentityWorld, born: string) {
-  assert.equal(this.told.born, upstreamBornAt(born).born);
+Then('the known start time is {string}', function (this: IdentityWorld, born: string) {
+  assert.equal(this.reported.born, upstreamStartedAt(born).born);
 });
 
 Given(
-  'a primary that told the positions {string} under epoch {int}',
+  'a primary that reported the positions {string} under epoch {int}',
   function (this: IdentityWorld, seen: string, epoch: number) {
-    this.marks = new WatermarkLog(epoch);
+    this.watermarks = new WatermarkLog(epoch);
     for (const [index, text] of seen.split(',').entries()) {
       const position = positionOf(text);
-      if (position !== undefined) this.marks.add({ sentAt: index, position });
+      if (position !== undefined) this.watermarks.add({ sentAt: index, position });
     }
   },
 );
 
 When(
-  'it tells {string} under epoch {int}',
+  'it reports {string} under epoch {int}',
   function (this: IdentityWorld, told: string, epoch: number) {
-    this.marks.startEpoch(epoch);
+    this.watermarks.startEpoch(epoch);
     this.position = positionOf(told);
   },
 );
 
 Then(/^it (has|has not) lost its log$/, function (this: IdentityWorld, has: string) {
-  assert.equal(hasRegressed(this.marks.highest, this.position), has === 'has');
+  assert.equal(hasRegressed(this.watermarks.highest, this.position), has === 'has');
 });
--- a/packages/coordination/tests/workspace-limits.feature
+++ b/packages/coordination/tests/workspace-limits.feature
@@ -1,10 +1,10 @@
 Feature: Limits of workspaces over all hosts
 
-  In the tables operations are counted in windows of 5 s; a tenth and 20 operations may be run on top.
+  Operations are counted in windows of 5 s; a tenth and 20 operations more are tolerated. In the tables, the keeper is the host that owns the allowance.
 
-  Scenario Outline: Operations are granted at the rate, and a burst and a part of the tolerance at once
-    Given a limit of <rate> a second and a burst of <burst>, kept since 0 ms
-    When operations are asked for at "<asked>"
+  Scenario Outline: Operations are granted at the rate, plus a burst and a share of the tolerance at once
+    Given a limit of <rate> a second and a burst of <burst>, refilled since 0 ms
+    When operations are requested at "<asked>"
     Then "<granted>" are granted, and the next one in <wait> ms
 
     # asked = ms:operations
@@ -18,14 +18,14 @@
       | 0    | 0     | 60000:100,90000:1   | 3,1     | 0     | only the tolerance                                |
       | 10   | 10    | 60000:100,59000:1   | 13,0    | 8     | time that goes back grants nothing                |
 
-  Scenario: A limit that is lowered counts at once
-    Given a limit of 100 a second and a burst of 100, kept since 0 ms
-    When operations are asked for at "60000:1", the limit becomes 2 and 2, and they are asked for at "60001:100"
+  Scenario: A lowered limit takes effect immediately
+    Given a limit of 100 a second and a burst of 100, refilled since 0 ms
+    When operations are requested at "60000:1", the limit becomes 2 and 2, and they are requested at "60001:100"
     Then "1,5" are granted, and the next one in 199 ms
 
-  Scenario Outline: A host that reaches no keeper admits what it did before
+  Scenario Outline: A host that reaches no owner admits as many operations as before
     Given a host that admitted operations at "<admitted>"
-    Then on its own it admits <alone> of 20 operations that come evenly from <from> to <to> ms
+    Then on its own it admits <alone> of 20 operations that arrive evenly from <from> to <to> ms
 
     Examples:
       | admitted            | from  | to    | alone | why                               |
@@ -35,13 +35,13 @@
       | 6000,6500,7000,7500 | 10000 | 11000 | 1     | and not all at once               |
       | 1000,1500           | 10000 | 15000 | 1     | too long ago                      |
 
-  Scenario: No interleaving runs more than the limit allows
-    Given any course of floods, keepers that are killed or replaced, and limits that are lowered
+  Scenario: No sequence runs more operations than the limit allows
+    Given any sequence of floods, owners that fail or are replaced, and limits that are lowered
     Then in no window more is run than allowed
 
-  Scenario Outline: The check of courses finds mistakes
-    Given any course of floods, keepers that are killed or replaced, and limits that are lowered
-    Then with the mistake "<mistake>" some course runs more than allowed
+  Scenario Outline: The check of sequences detects mistakes
+    Given any sequence of floods, owners that fail or are replaced, and limits that are lowered
+    Then with the mistake "<mistake>" some sequence runs more than allowed
 
     Examples:
       | mistake                                    |
