--- a/packages/coordination/src/authority/failover.ts
+++ b/packages/coordination/src/authority/failover.ts
@@ -78,7 +78,7 @@
   readonly isPrimary: boolean;
   readonly term: number;
   readonly received: Position;
-  /** Whether it is draining. */
+  /** Whether it is about to leave. */
   readonly draining: boolean;
   /** Whether its zone is evacuated; missing means false. */
   readonly evacuated?: boolean;
--- a/packages/coordination/src/load/operation-allowance.ts
+++ b/packages/coordination/src/load/operation-allowance.ts
@@ -39,7 +39,7 @@
 export interface Allowance {
   /** Operations that may start; none if below one. */
   readonly level: number;
-  /** Local time of the level. */
+  /** Local time for which the level was computed. */
   readonly at: number;
 }
 
--- a/packages/coordination/src/model/blackboard.ts
+++ b/packages/coordination/src/model/blackboard.ts
@@ -36,7 +36,7 @@
 /** Observations of a home about a group. */
 export interface GroupObservation {
   readonly marks: PrimaryWatermarks;
-  /** Time up to which the primaries' authority is proved, local milliseconds; never moves back. */
+  /** Time up to which the primaries' authority is proved, local milliseconds; never decreases. */
   readonly authority: number;
   /** When the home began to monitor the current term, local milliseconds. */
   readonly watchingSince: number;
--- a/packages/coordination/src/reads/position.ts
+++ b/packages/coordination/src/reads/position.ts
@@ -4,7 +4,7 @@
 
 /** A point in a group's log. Offsets are comparable only within one term or through a lineage. */
 export interface Position {
-  /** Term under which the log stood at this offset; grows with each promotion. */
+  /** Term of the log at this offset; increases with each promotion. */
   readonly term: number;
   /** Number of log entries (or bytes of log) up to and including this point. */
   readonly offset: number;
--- a/packages/coordination/tests/event-loop-monitor.feature
+++ b/packages/coordination/tests/event-loop-monitor.feature
@@ -13,7 +13,7 @@
       | 100,800,900,1250 | 0    | 850    |                            |
       | 100,800,900,2900 | 2850 | 50     |                            |
 
-  Scenario Outline: Ticks due each 100 ms
+  Scenario Outline: Ticks due every 100 ms
     When ticks come at <ticks> ms
     Then others may be treated as late at <judged> ms
 
--- a/packages/coordination/tests/read-routing.feature
+++ b/packages/coordination/tests/read-routing.feature
@@ -20,7 +20,7 @@
       | a*:2/20, b:3/30, c:2/20     | 2    | 20     | use c                 | a term not in the lineage proves nothing |
       | b:2/19, c:2/19              | 2    | 20     | refuse no-covering-upstream | wrong is worse than refused     |
 
-  Scenario: A read waits shortly for a replica that is about to cover its position
+  Scenario: A read waits briefly for a replica that is about to cover its position
     Given the upstreams report "a*:2/20, b:2/18, c:2/10"
     And upstream "b" applies 1 offset a millisecond
     When a session that has seen term 2 offset 20 reads
