--- a/packages/coordination/tests/loop-delay.feature
+++ b/packages/coordination/tests/event-loop-monitor.feature
@@ -1,6 +1,6 @@
-Feature: A host that did not run for a while reads what others sent before it judges them
+Feature: After a pause a host reads pending messages before it treats others as late
 
-  Scenario Outline: Time in which the host did not run does not count
+  Scenario Outline: Pauses of the process are not counted towards the delay of others
     When ticks come at <ticks> ms
     Then <paused> ms since <at> ms were pauses
 
@@ -13,9 +13,9 @@
       | 100,800,900,1250 | 0    | 850    |                            |
       | 100,800,900,2900 | 2850 | 50     |                            |
 
-  Scenario Outline: Ticks due each 100 ms
+  Scenario Outline: Ticks due every 100 ms
     When ticks come at <ticks> ms
-    Then others are judged in <judged>
+    Then others may be treated as late at <judged> ms
 
     Examples:
       | ticks               | judged              | why                                            |
