--- a/packages/pool/src/connection-pool.ts
+++ b/packages/pool/src/connection-pool.ts
@@ -1,8 +1,7 @@
 /**
- * Connections of one home to one upstream, within the home's part of the upstream's budget. A
- * connection serves one workspace for as long as it is open; where the budget is used up, the one
- * that nobody has used for longest is closed for another workspace. Who gets a connection is decided
- * in `wait-queue.ts`.
+ * Connections of one home to one upstream, within the home's share of the upstream's connection limit. A connection
+ * serves a single workspace while it is open. When the limit is reached, the connection that has been idle for longest
+ * is closed to make room for another workspace. `wait-queue.ts` decides which request gets a connection.
  */
 import type { GladespoolError, WorkspaceId } from '@gladespool/coordination';
 import type { Priority } from '@gladespool/coordination';
@@ -12,73 +11,73 @@
 import type { Owner, WaitEntry } from './wait-queue.js';
 import { WaitQueue } from './wait-queue.js';
 
-/** What the pool needs of a connection. */
+/** Requirements of the pool on a connection. */
 export interface PoolConnection {
-  /** Whether it can take work now. */
+  /** Whether it can accept work now. */
   readonly usable: boolean;
-  /** Whether another request may have it: nothing outstanding, no transaction open. */
+  /** Whether another request may use it: no answer outstanding and no transaction open. */
   readonly reusable: boolean;
   close(): void;
 }
 
-/** Bounds of a pool. */
+/** Limits of a pool. */
 export interface PoolLimits {
-  /** Connections at most. */
+  /** Maximum number of connections. */
   readonly maxConnections: number;
-  /** Requests waiting for a connection at most. */
+  /** Maximum number of requests waiting for a connection. */
   readonly maxWaiting: number;
 }
 
-/** A connection lent to one request or transaction; give it back exactly once. */
+/** A connection leased to one request or transaction; must be released exactly once. */
 export interface Lease<C extends PoolConnection> {
   readonly connection: C;
   release(): void;
 }
 
-/** A connection with the workspace that it serves. */
-interface Bound<C extends PoolConnection> {
+/** A connection and the workspace it serves. */
+interface OwnedConnection<C extends PoolConnection> {
   readonly connection: C;
   readonly owner: Owner;
 }
 
-interface Idle<C extends PoolConnection> extends Bound<C> {
-  /** Local time since which nobody has used it. */
+interface IdleConnection<C extends PoolConnection> extends OwnedConnection<C> {
+  /** Local time since which it has been idle. */
   readonly since: number;
 }
 
 interface Waiter<C extends PoolConnection> extends WaitEntry {
-  /** When its caller stops waiting, local milliseconds. */
+  /** Local time at which the wait times out, milliseconds. */
   readonly deadlineAt: number;
   readonly settle: (result: Result<Lease<C>, RefusalReason>) => void;
 }
 
 /**
- * Share of a request's time that it may be expected to wait. A queue as long as the deadline would
- * accept requests that can only just be late.
+ * Maximum expected wait, as a fraction of a request's timeout. Admitting requests whose expected wait is as long as
+ * the timeout would mean that nearly all of them time out.
  */
-const WAIT_SHARE = 0.5;
-/** Weight of the newest sample in the moving average of hold times. */
-const HOLD_WEIGHT = 0.1;
-/** Connection attempts at once; more would be a storm on an upstream that has just returned. */
+const MAX_WAIT_SHARE = 0.5;
+/** Weight of the latest sample in the moving average of hold times. */
+const HOLD_TIME_WEIGHT = 0.1;
+/** Maximum concurrent connection attempts; more would overload an upstream that has just come back. */
 const MAX_CONNECTING = 2;
 /**
- * Pause after a failed attempt, milliseconds. An upstream that is full or gone is not helped by an
- * attempt for each request; where none is open, requests go elsewhere meanwhile.
+ * Pause after a failed connection attempt, milliseconds. Attempts for each request would not help an upstream that is
+ * full or down. While no connection is open, requests are refused so that they go to another upstream.
  */
 const RECONNECT_PAUSE_MS = 100;
 
 /** Pool of connections to one upstream. */
 export class ConnectionPool<C extends PoolConnection> {
-  /** Connections that nobody uses, the one that was used latest last. */
-  private readonly idle: Idle<C>[] = [];
+  /** Idle connections, the most recently used one last. */
+  private readonly idle: IdleConnection<C>[] = [];
   private readonly waiting = new WaitQueue<Waiter<C>>();
-  /** Workspaces for which connections are being opened, one entry a connection. */
+  /** Workspaces for which connections are being opened, one entry per connection. */
   private readonly dialing: Owner[] = [];
   private open = 0;
-  private lent = 0;
-  private holdMs = 1;
+  private leased = 0;
+  private meanHoldMs = 1;
   private stopped = false;
-  /** Local time before which no connection is opened, after one was refused. */
+  /** Local time before which no connection is opened, because an attempt failed. */
   private dialNotBefore = Number.NEGATIVE_INFINITY;
 
   constructor(
@@ -87,22 +86,22 @@
     private readonly onConnectFailure: (error: GladespoolError) => void,
   ) {}
 
-  /** Connections open or being opened. */
+  /** Number of connections that are open or being opened. */
   get connections(): number {
     return this.open + this.dialing.length;
   }
 
-  /** Connections in use. */
+  /** Number of leased connections. */
   get inUse(): number {
-    return this.lent;
+    return this.leased;
   }
 
-  /** Requests waiting. */
+  /** Number of waiting requests. */
   get queued(): number {
     return this.waiting.size;
   }
 
-  /** What is there for a request of `owner`. */
+  /** Whether a request of `owner` can use an idle connection, open a new one, or has to wait. */
   reuseFor(owner: Owner): ConnectionAvailability {
     if (this.idle.some((idle) => idle.owner === owner)) return ConnectionAvailability.Ready;
     return this.connections < this.limits.maxConnections
@@ -110,13 +109,13 @@
       : ConnectionAvailability.Full;
   }
 
-  /** Expected wait of a new request, milliseconds, from the mean hold time of a connection. */
+  /** Expected wait of a new request, milliseconds, derived from the mean hold time of connections. */
   expectedWaitMs(): number {
     if (this.idle.length > 0 || this.connections < this.limits.maxConnections) return 0;
-    return ((this.waiting.size + 1) * this.holdMs) / Math.max(1, this.limits.maxConnections);
+    return ((this.waiting.size + 1) * this.meanHoldMs) / Math.max(1, this.limits.maxConnections);
   }
 
-  /** Changes the bounds; surplus connections close as they come back. */
+  /** Changes the limits; surplus connections in use are closed when they are released. */
   resize(limits: PoolLimits): void {
     this.limits = limits;
     while (this.connections > limits.maxConnections) {
@@ -127,7 +126,7 @@
     this.grow();
   }
 
-  /** Closes connections that nobody has used since `before`. */
+  /** Closes connections that became idle before `before`. */
   closeIdle(before: number): void {
     const stale = this.idle.filter((idle) => idle.since < before);
     for (const entry of stale) {
@@ -136,7 +135,7 @@
     }
   }
 
-  /** Lends a connection that serves `owner`, waiting at most `timeoutMs`. */
+  /** Leases a connection for `owner`, waiting at most `timeoutMs`. */
   acquire(
     priority: Priority,
     now: number,
@@ -144,26 +143,26 @@
     owner?: WorkspaceId,
   ): Promise<Result<Lease<C>, RefusalReason>> {
     const ready = this.stopped ? undefined : this.takeIdle(owner);
-    if (ready !== undefined) return Promise.resolve(ok(this.lend(ready, now)));
-    const refusal = this.refusalAtDoor(now, timeoutMs);
+    if (ready !== undefined) return Promise.resolve(ok(this.createLease(ready, now)));
+    const refusal = this.admissionRefusal(now, timeoutMs);
     if (refusal !== undefined) return Promise.resolve(err(refusal));
     return this.enqueue({ priority, owner, since: now }, timeoutMs);
   }
 
-  /** Closes idle connections and refuses new work; leases in use end as they are given back. */
+  /** Closes idle connections and refuses new work; leased connections are closed when they are released. */
   stop(): void {
     this.stopped = true;
     for (const { connection } of this.idle.splice(0)) this.discard(connection);
     for (const waiter of this.waiting.takeAll()) waiter.settle(err(RefusalReason.Draining));
   }
 
-  private refusalAtDoor(now: number, timeoutMs: number): RefusalReason | undefined {
+  private admissionRefusal(now: number, timeoutMs: number): RefusalReason | undefined {
     if (this.stopped) return RefusalReason.Draining;
     if (this.connections === 0 && now < this.dialNotBefore) {
       return RefusalReason.UpstreamUnreachable;
     }
     if (this.waiting.size >= this.limits.maxWaiting) return RefusalReason.QueueFull;
-    if (this.expectedWaitMs() > timeoutMs * WAIT_SHARE) return RefusalReason.ExpectedWait;
+    if (this.expectedWaitMs() > timeoutMs * MAX_WAIT_SHARE) return RefusalReason.ExpectedWait;
     return undefined;
   }
 
@@ -188,12 +187,12 @@
 
   private grow(): void {
     if (this.stopped || this.dialing.length >= MAX_CONNECTING) return;
-    const missing = this.waiting.firstWithoutDial(this.dialing);
-    if (missing === undefined || !this.hasRoom()) return;
-    void this.connect(missing.owner);
+    const waiter = this.waiting.firstWithoutDial(this.dialing);
+    if (waiter === undefined || !this.hasRoom()) return;
+    void this.connect(waiter.owner);
   }
 
-  /** Whether another connection may be opened; one that nobody uses makes room for it. */
+  /** Whether another connection may be opened. At the limit, closes the least recently used idle one to make room. */
   private hasRoom(): boolean {
     if (this.connections < this.limits.maxConnections) return true;
     if (this.connections > this.limits.maxConnections) return false;
@@ -223,14 +222,14 @@
     this.grow();
   }
 
-  /** With no connection at all a request is better refused at once than held to its deadline. */
+  /** Without any open connection, requests are refused immediately rather than held until their deadlines. */
   private refuseWaiting(): void {
     for (const waiter of this.waiting.takeAll()) {
       waiter.settle(err(RefusalReason.UpstreamUnreachable));
     }
   }
 
-  private offer(bound: Bound<C>): void {
+  private offer(bound: OwnedConnection<C>): void {
     if (this.stopped || this.connections > this.limits.maxConnections) {
       this.discard(bound.connection);
       return;
@@ -241,25 +240,25 @@
       this.idle.push({ ...bound, since: now });
       return;
     }
-    waiter.settle(ok(this.lend(bound, now)));
+    waiter.settle(ok(this.createLease(bound, now)));
   }
 
-  /** The next waiter that has time left to run; the others are refused while that is certain. */
+  /** The next waiter with enough time left to run. Refuses those before it while it is certain that they have not run. */
   private nextWaiterInTime(owner: Owner, now: number): Waiter<C> | undefined {
     for (;;) {
       const waiter = this.waiting.takeNext(owner, now, this.mayReplace());
-      if (waiter === undefined || waiter.deadlineAt - now >= this.holdMs) return waiter;
+      if (waiter === undefined || waiter.deadlineAt - now >= this.meanHoldMs) return waiter;
       waiter.settle(err(RefusalReason.DeadlineBeforeRun));
     }
   }
 
-  /** Whether a free connection is the only one that could make room for another right now. */
+  /** Whether closing the connection just released is the only way to open another one now. */
   private mayReplace(): boolean {
     if (this.idle.length > 0 || this.dialing.length >= MAX_CONNECTING) return false;
     return this.connections >= this.limits.maxConnections;
   }
 
-  private takeIdle(owner: Owner): Bound<C> | undefined {
+  private takeIdle(owner: Owner): OwnedConnection<C> | undefined {
     for (;;) {
       const index = this.idle.findLastIndex((idle) => idle.owner === owner);
       const [found] = index < 0 ? [] : this.idle.splice(index, 1);
@@ -269,27 +268,27 @@
     }
   }
 
-  private lend(bound: Bound<C>, since: number): Lease<C> {
-    this.lent += 1;
-    let given = false;
+  private createLease(bound: OwnedConnection<C>, since: number): Lease<C> {
+    this.leased += 1;
+    let released = false;
     return {
       connection: bound.connection,
       release: () => {
-        if (given) return;
-        given = true;
-        this.lent -= 1;
-        this.noteHold(performance.now() - since);
-        this.takeBack(bound);
+        if (released) return;
+        released = true;
+        this.leased -= 1;
+        this.recordHoldTime(performance.now() - since);
+        this.reclaim(bound);
       },
     };
   }
 
-  private noteHold(heldMs: number): void {
-    this.holdMs += (heldMs - this.holdMs) * HOLD_WEIGHT;
+  private recordHoldTime(heldMs: number): void {
+    this.meanHoldMs += (heldMs - this.meanHoldMs) * HOLD_TIME_WEIGHT;
   }
 
-  /** A connection with an answer outstanding or a transaction open is closed, never reused. */
-  private takeBack(bound: Bound<C>): void {
+  /** Closes a connection that has an answer outstanding or a transaction open, rather than reusing it. */
+  private reclaim(bound: OwnedConnection<C>): void {
     const { connection } = bound;
     if (connection.usable && connection.reusable) this.offer(bound);
     else this.discard(connection);
--- a/packages/pool/tests/connection-pool.feature
+++ b/packages/pool/tests/connection-pool.feature
@@ -1,11 +1,11 @@
-Feature: Connections of one home to one upstream
+Feature: Connection pool of one home for one upstream
 
-  Scenario Outline: Who gets a connection
+  Scenario Outline: Requests that get a connection
     Given a pool of <connections> connections
-    When this happens to it: "<events>"
-    Then those served are "<served>" and those refused "<refused>"
+    When these events occur: "<events>"
+    Then the served requests are "<served>" and the refused ones "<refused>"
 
-    # ask:NAME, back:NAME; full: the upstream lets nobody in from now on
+    # ask:NAME acquires a connection, back:NAME releases it; full: the upstream refuses connections from now on
     Examples:
       | connections | events                   | served | refused | why                             |
       | 2           | ask:a,ask:b,ask:c        | a,b    |         | the third waits                 |
@@ -13,22 +13,22 @@
       | 1           | full,ask:a               |        | a       | the upstream lets nobody in     |
       | 1           | full,ask:a,ask:b         |        | a,b     | the second is not tried so soon |
 
-  Scenario: Connections that nobody has used for a while are closed
+  Scenario: Idle connections are closed
     Given a pool of 2 connections
-    When this happens to it: "ask:a,ask:b,back:a,back:b,close-idle"
+    When these events occur: "ask:a,ask:b,back:a,back:b,close-idle"
     Then 0 connections are open
 
-  Scenario: After a refused connection the upstream is left alone for a moment
+  Scenario: After a refused connection, the pool pauses before it dials again
     Given a pool of 1 connections
-    When this happens to it: "full,ask:a,ask:b,ask:c"
+    When these events occur: "full,ask:a,ask:b,ask:c"
     Then the upstream was dialed 1 times
 
   Scenario Outline: A connection serves one workspace
     Given a pool of <connections> connections
-    When this happens to it: "<events>"
-    Then those served are "<served>" and connections were opened for "<opened>"
+    When these events occur: "<events>"
+    Then the served requests are "<served>" and connections were opened for "<opened>"
 
-    # ask:W.NAME asks for workspace W
+    # ask:W.NAME acquires a connection for workspace W
     Examples:
       | connections | events                                               | served          | opened  | why                                          |
       | 2           | ask:a.1,back:a.1,ask:a.2                             | a.1,a.2         | a       | the same workspace has it again              |
--- a/packages/pool/tests/connection-pool.steps.ts
+++ b/packages/pool/tests/connection-pool.steps.ts
@@ -13,18 +13,18 @@
   served: string[];
   refused: string[];
   dials: number;
-  /** Workspaces for which connections were opened, in turn. */
+  /** Workspaces for which connections were opened, in order. */
   dialed: (WorkspaceId | undefined)[];
   isFull: boolean;
 }
 
-const NOW = 1000;
-/** Nobody waits that long in a test. */
+const BEYOND_NOW_MS = 1000;
+/** Longer than any wait in these tests, milliseconds. */
 const WAIT_MS = 600_000;
-/** Turns of the event loop that settle what an event has set off. */
-const TURNS = 5;
+/** Turns of the event loop after which the effects of an event are complete. */
+const SETTLE_TURNS = 5;
 
-function connectionOf(): PoolConnection {
+function createConnection(): PoolConnection {
   return { usable: true, reusable: true, close: () => undefined };
 }
 
@@ -40,14 +40,14 @@
     (owner) => {
       this.dials += 1;
       this.dialed.push(owner);
-      return Promise.resolve(this.isFull ? err(failure) : ok(connectionOf()));
+      return Promise.resolve(this.isFull ? err(failure) : ok(createConnection()));
     },
     { maxConnections, maxWaiting: 10 },
     () => undefined,
   );
 });
 
-/** `w.NAME` asks for workspace w, a name without a dot for none. */
+/** Acquires a connection: `w.NAME` for workspace w, a name without a dot for none. */
 async function acquire(world: PoolWorld, name: string): Promise<void> {
   const owner = name.includes('.') ? workspaceId(name.split('.')[0] ?? '') : undefined;
   const lease = await world.pool.acquire(Priority.Outcome, performance.now(), WAIT_MS, owner);
@@ -59,7 +59,7 @@
   world.leases.set(name, lease.value);
 }
 
-function play(world: PoolWorld, event: string): void {
+function applyEvent(world: PoolWorld, event: string): void {
   const [what, name = ''] = event.split(':');
   switch (what) {
     case 'ask':
@@ -72,22 +72,22 @@
       world.isFull = true;
       return;
     case 'close-idle':
-      world.pool.closeIdle(performance.now() + NOW);
+      world.pool.closeIdle(performance.now() + BEYOND_NOW_MS);
       return;
     default:
       assert.fail(`unknown event ${event}`);
   }
 }
 
-When('this happens to it: {string}', async function (this: PoolWorld, events: string) {
+When('these events occur: {string}', async function (this: PoolWorld, events: string) {
   for (const event of events.split(',')) {
-    play(this, event);
-    for (let turns = 0; turns < TURNS; turns += 1) await turn();
+    applyEvent(this, event);
+    for (let turns = 0; turns < SETTLE_TURNS; turns += 1) await turn();
   }
 });
 
 Then(
-  'those served are {string} and those refused {string}',
+  'the served requests are {string} and the refused ones {string}',
   function (this: PoolWorld, served: string, refused: string) {
     assert.equal(this.served.join(','), served);
     assert.equal(this.refused.join(','), refused);
@@ -104,7 +104,7 @@
 });
 
 Then(
-  'those served are {string} and connections were opened for {string}',
+  'the served requests are {string} and connections were opened for {string}',
   function (this: PoolWorld, served: string, dialed: string) {
     assert.equal(this.served.join(','), served);
     assert.equal(this.dialed.join(','), dialed);
--- a/packages/pool/tests/wait-queue.feature
+++ b/packages/pool/tests/wait-queue.feature
@@ -1,11 +1,11 @@
-Feature: Who gets a free connection of one workspace
+Feature: Waiter that gets a free connection
 
-  Scenario Outline: A waiter of the same workspace, unless another one has waited for too long
+  Scenario Outline: A waiter of the same workspace goes first, unless another one has waited too long
     Given waiters "<waiters>" at 1000 ms
     When a connection of workspace "a" is free and <replaced> be replaced
     Then "<chosen>" gets it
 
-    # waiter = workspace:class:since in ms; the class is outcome, interactive or background
+    # waiter = workspace:class:start of the wait in ms; the class is outcome, interactive or background
     Examples:
       | waiters                                   | replaced | chosen | why                                            |
       | a:interactive:990                         | may      | a      | the only one                                   |
--- a/packages/pool/tests/wait-queue.steps.ts
+++ b/packages/pool/tests/wait-queue.steps.ts
@@ -4,8 +4,8 @@
 import type { WaitEntry } from '../src/index.js';
 import { WaitQueue } from '../src/index.js';
 
-interface OrderWorld {
-  order: WaitQueue<WaitEntry>;
+interface QueueWorld {
+  queue: WaitQueue<WaitEntry>;
   now: number;
   chosen: WaitEntry | undefined;
 }
@@ -16,24 +16,24 @@
   ['background', Priority.Background],
 ]);
 
-Given('waiters {string} at {int} ms', function (this: OrderWorld, waiters: string, now: number) {
-  this.order = new WaitQueue();
+Given('waiters {string} at {int} ms', function (this: QueueWorld, waiters: string, now: number) {
+  this.queue = new WaitQueue();
   this.now = now;
   for (const waiter of waiters.split(',')) {
     const [owner = '', name = '', since = ''] = waiter.split(':');
     const priority = CLASSES.get(name);
     assert.ok(priority !== undefined, name);
-    this.order.add({ owner: workspaceId(owner), priority, since: Number(since) });
+    this.queue.add({ owner: workspaceId(owner), priority, since: Number(since) });
   }
 });
 
 When(
   /^a connection of workspace "(\w+)" is free and (may|may not) be replaced$/,
-  function (this: OrderWorld, owner: string, replaced: string) {
-    this.chosen = this.order.takeNext(workspaceId(owner), this.now, replaced === 'may');
+  function (this: QueueWorld, owner: string, replaced: string) {
+    this.chosen = this.queue.takeNext(workspaceId(owner), this.now, replaced === 'may');
   },
 );
 
-Then('{string} gets it', function (this: OrderWorld, chosen: string) {
+Then('{string} gets it', function (this: QueueWorld, chosen: string) {
   assert.equal(this.chosen?.owner ?? 'none', chosen);
 });
