--- a/packages/peers/src/peer-link.ts
+++ b/packages/peers/src/peer-link.ts
@@ -1,5 +1,5 @@
 /**
- * One authenticated link between two hosts. Frames go both ways; a link that breaks the protocol is
+ * An authenticated link between two hosts that carries frames in both directions. A link that violates the protocol is
  * closed and reported once.
  */
 import type { Socket } from 'node:net';
@@ -17,23 +17,23 @@
   createProof,
 } from '@gladespool/protocol';
 
-/** Identity and key with which a host opens links. */
+/** Identity and key that a host uses to open links. */
 export interface LinkIdentity {
   readonly host: string;
   readonly az: string;
   readonly key: Buffer;
-  /** Start time of the process; the link's epoch. */
+  /** Start time of the process; used as the epoch of the link. */
   readonly incarnation: number;
 }
 
-/** What happens on a link. */
+/** Events of a link. */
 export interface LinkListener {
   onReady(link: PeerLink): void;
   onFrame(link: PeerLink, frame: Frame): void;
   onClose(link: PeerLink, error: GladespoolError): void;
 }
 
-/** Counts bytes that were sent to a host of a zone. */
+/** Counts bytes sent to hosts of a zone. */
 export type SentBytesCounter = (bytes: number, az: string) => void;
 
 /** Options of a link. */
@@ -43,9 +43,9 @@
   readonly identity: LinkIdentity;
   readonly listener: LinkListener;
   readonly handshakeTimeoutMs: number;
-  /** Counts bytes sent that don't belong to callers' requests. */
+  /** Counts sent bytes that do not belong to caller requests. */
   readonly onControlBytes: (bytes: number) => void;
-  /** Counts all bytes sent once the other host has told its zone; unset where nobody counts them. */
+  /** Counts all bytes sent once the zone of the other host is known; unset if they are not counted. */
   readonly onSentBytes?: SentBytesCounter | undefined;
 }
 
@@ -67,14 +67,14 @@
   private readonly timer: NodeJS.Timeout;
   private state: 'handshake' | 'ready' | 'closed' = 'handshake';
   private remoteHost = '';
-  /** Zone of the other host; empty until it has told it. */
+  /** Zone of the other host; empty until the handshake reveals it. */
   private remoteAz = '';
 
   constructor(private readonly options: PeerLinkOptions) {
     const { socket } = options;
     this.decoder = new FrameDecoder(`${socket.remoteAddress ?? ''}:${socket.remotePort ?? 0}`);
     this.timer = setTimeout(() => {
-      this.end('handshake took too long');
+      this.end('handshake timed out');
     }, options.handshakeTimeoutMs);
     socket.setNoDelay(true);
     socket.on('data', (chunk: Buffer) => {
@@ -89,17 +89,17 @@
     if (options.side === HandshakeSide.Dialer) this.sendHello();
   }
 
-  /** Name of the other host; empty until the handshake is done. */
+  /** Name of the other host; empty until the handshake reveals it. */
   get host(): string {
     return this.remoteHost;
   }
 
-  /** Whether the handshake is done and the link open. */
+  /** Whether the handshake is complete and the link is open. */
   get ready(): boolean {
     return this.state === 'ready';
   }
 
-  /** Sends a frame; false when the link is not ready. */
+  /** Sends a frame; false if the link is not ready. */
   send(frame: Frame): boolean {
     if (this.state !== 'ready') return false;
     this.write(frame);
@@ -121,32 +121,32 @@
   private receive(chunk: Buffer): void {
     const frames = this.decoder.push(chunk);
     if (frames.isErr()) {
-      this.end('broken frame', frames.error);
+      this.end('invalid frame', frames.error);
       return;
     }
     for (const frame of frames.value) {
       if (this.state === 'closed') return;
       if (this.state === 'ready') this.options.listener.onFrame(this, frame);
-      else this.shake(frame);
+      else this.handleHandshake(frame);
     }
   }
 
-  private shake(frame: Frame): void {
+  private handleHandshake(frame: Frame): void {
     switch (frame.kind) {
       case FrameKind.Hello:
-        this.answerHello(frame);
+        this.handleHello(frame);
         return;
       case FrameKind.Challenge:
-        this.answerChallenge(frame);
+        this.handleChallenge(frame);
         return;
       case FrameKind.Proof:
-        this.checkDialer(frame);
+        this.handleProof(frame);
         return;
       case FrameKind.Ready:
-        this.takeReady();
+        this.handleReady();
         return;
       default:
-        this.end(`frame ${frame.kind} before the handshake was done`);
+        this.end(`frame ${frame.kind} before the handshake was complete`);
     }
   }
 
@@ -161,12 +161,12 @@
     });
   }
 
-  private answerHello(hello: FrameOf<FrameKind.Hello>): void {
+  private handleHello(hello: FrameOf<FrameKind.Hello>): void {
     if (this.options.side !== HandshakeSide.Listener || this.remoteHost !== '') {
       this.end('unexpected hello');
       return;
     }
-    if (!this.sameVersion(hello.version)) return;
+    if (!this.checkVersion(hello.version)) return;
     this.remoteHost = hello.host;
     this.remoteAz = hello.az;
     this.peerNonce = hello.nonce;
@@ -177,12 +177,12 @@
     this.write({ kind: FrameKind.Challenge, version, host, az, nonce: this.nonce, mac });
   }
 
-  private answerChallenge(challenge: FrameOf<FrameKind.Challenge>): void {
+  private handleChallenge(challenge: FrameOf<FrameKind.Challenge>): void {
     if (this.options.side !== HandshakeSide.Dialer) {
       this.end('unexpected challenge');
       return;
     }
-    if (!this.sameVersion(challenge.version)) return;
+    if (!this.checkVersion(challenge.version)) return;
     const { host, key } = this.options.identity;
     const nonces = { dialerNonce: this.nonce, listenerNonce: challenge.nonce };
     const claimed = { ...nonces, host: challenge.host, side: HandshakeSide.Listener };
@@ -196,7 +196,7 @@
     this.write({ kind: FrameKind.Proof, mac });
   }
 
-  private checkDialer(proof: FrameOf<FrameKind.Proof>): void {
+  private handleProof(proof: FrameOf<FrameKind.Proof>): void {
     const { key, incarnation } = this.options.identity;
     const input = {
       side: HandshakeSide.Dialer,
@@ -210,24 +210,24 @@
       return;
     }
     this.write({ kind: FrameKind.Ready, epoch: incarnation });
-    this.become();
+    this.completeHandshake();
   }
 
-  private sameVersion(version: number): boolean {
+  private checkVersion(version: number): boolean {
     if (version === PEER_PROTOCOL_VERSION) return true;
-    this.end(`peer speaks version ${version}, this host ${PEER_PROTOCOL_VERSION}`);
+    this.end(`peer uses protocol version ${version}, this host ${PEER_PROTOCOL_VERSION}`);
     return false;
   }
 
-  /** Only the listener says that it is ready, and only to a dialer that has proved the key. */
-  private takeReady(): void {
-    if (this.options.side === HandshakeSide.Dialer) this.become();
+  /** Only the listener sends Ready, and only to a dialer that has proved the key. */
+  private handleReady(): void {
+    if (this.options.side === HandshakeSide.Dialer) this.completeHandshake();
     else this.end('dialer skipped its proof');
   }
 
-  private become(): void {
+  private completeHandshake(): void {
     if (this.state !== 'handshake' || this.remoteHost === '') {
-      this.end('handshake out of order');
+      this.end('handshake frames out of order');
       return;
     }
     clearTimeout(this.timer);
--- a/packages/peers/src/peer-network.ts
+++ b/packages/peers/src/peer-network.ts
@@ -1,6 +1,6 @@
 /**
- * Links of one host: one to each peer it talks to, opened on demand and shared. A link that the peer
- * has opened serves as well, so that a host which is asked by many does not open as many links itself.
+ * Links of one host: one shared link to each peer, opened on demand. A link opened by the peer is used as well, so that
+ * a host that receives requests from many peers does not open as many links in return.
  */
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { createServer } from 'node:net';
@@ -14,39 +14,39 @@
 import type { LinkIdentity, SentBytesCounter } from './peer-link.js';
 import { PeerLink } from './peer-link.js';
 
-/** Where a peer listens. */
+/** Address at which a peer listens. */
 export interface PeerAddress {
   readonly host: string;
   readonly address: string;
   readonly port: number;
 }
 
-/** Takes frames and losses of any link. */
+/** Handles frames from, and the loss of, any link. */
 export interface PeerHandler {
   onFrame(link: PeerLink, frame: Frame): void;
   onLost(link: PeerLink): void;
 }
 
-/** Options of the network. */
+/** Options of a network. */
 export interface PeerNetworkOptions {
   readonly identity: LinkIdentity;
   readonly dial: (port: number, address: string) => Socket;
   readonly handshakeTimeoutMs: number;
-  /** Counts bytes sent that don't belong to callers' requests. */
+  /** Counts sent bytes that do not belong to caller requests. */
   readonly onControlBytes: (bytes: number) => void;
-  /** Counts all bytes sent, by the zone of the other host; unset where nobody counts them. */
+  /** Counts all bytes sent, by zone of the other host; unset if they are not counted. */
   readonly onSentBytes?: SentBytesCounter;
   readonly log: Logger;
 }
 
-type Opening = Promise<Result<PeerLink, GladespoolError>>;
+type PendingLink = Promise<Result<PeerLink, GladespoolError>>;
 
 /** All links of one host. */
 export class PeerNetwork {
   private readonly outgoing = new Map<string, PeerLink>();
-  /** The newest link that each peer has opened, by its name. */
+  /** The latest link opened by each peer, by host name. */
   private readonly incoming = new Map<string, PeerLink>();
-  private readonly opening = new Map<string, Opening>();
+  private readonly opening = new Map<string, PendingLink>();
   private readonly links = new Set<PeerLink>();
   private readonly handlers: PeerHandler[] = [];
   private server: Server | undefined;
@@ -54,20 +54,20 @@
 
   constructor(private readonly options: PeerNetworkOptions) {}
 
-  /** Port that peers reach this host at. */
+  /** Port at which this host listens; 0 while it does not. */
   get port(): number {
     return (this.server?.address() as AddressInfo | null)?.port ?? 0;
   }
 
-  /** Adds a handler; each sees every frame and takes its own kinds. */
+  /** Adds a handler. Every handler receives all frames and ignores the kinds it does not handle. */
   addHandler(handler: PeerHandler): void {
     this.handlers.push(handler);
   }
 
-  /** Starts to accept links. */
+  /** Starts accepting links. */
   async listen(address: string, port: number): Promise<void> {
     const server = createServer((socket) => {
-      this.adopt(socket, HandshakeSide.Listener, () => undefined);
+      this.createLink(socket, HandshakeSide.Listener, () => undefined);
     });
     await new Promise<void>((resolve, reject) => {
       server.once('error', reject);
@@ -76,13 +76,13 @@
     this.server = server;
   }
 
-  /** The link to a peer, opened if there is none. */
-  linkTo(peer: PeerAddress): Opening {
+  /** Returns the link to a peer; opens one if there is none. */
+  linkTo(peer: PeerAddress): PendingLink {
     const key = keyOf(peer);
-    const held = this.outgoing.get(key);
-    if (held?.ready === true) return Promise.resolve(ok(held));
-    const opened = this.incoming.get(peer.host);
-    if (opened?.ready === true) return Promise.resolve(ok(opened));
+    const existing = this.outgoing.get(key);
+    if (existing?.ready === true) return Promise.resolve(ok(existing));
+    const accepted = this.incoming.get(peer.host);
+    if (accepted?.ready === true) return Promise.resolve(ok(accepted));
     const opening = this.opening.get(key);
     if (opening !== undefined) return opening;
     const started = this.open(peer, key);
@@ -91,33 +91,33 @@
     return started;
   }
 
-  /** Sends a frame to a peer, opening a link if needed; false when it could not be sent. */
+  /** Sends a frame to a peer, opening a link if needed; false if it could not be sent. */
   async sendTo(peer: PeerAddress, frame: Frame): Promise<boolean> {
     const link = await this.linkTo(peer);
     return link.isOk() && link.value.send(frame);
   }
 
-  /** Closes every link and stops to accept. */
+  /** Closes all links and stops accepting new ones. */
   async stop(): Promise<void> {
     this.stopped = true;
-    for (const link of [...this.links]) link.close('host stops');
+    for (const link of [...this.links]) link.close('host is stopping');
     const server = this.server;
     if (server !== undefined) await new Promise((resolve) => server.close(resolve));
   }
 
-  private open(peer: PeerAddress, key: string): Opening {
+  private open(peer: PeerAddress, key: string): PendingLink {
     const place = { step: Step.PeerConnect, peer: `${peer.address}:${peer.port}` };
-    if (this.stopped) return Promise.resolve(err(gladespoolError(place, 'host stops')));
+    if (this.stopped) return Promise.resolve(err(gladespoolError(place, 'host is stopping')));
     return new Promise((resolve) => {
       const socket = this.options.dial(peer.port, peer.address);
-      const link = this.adopt(socket, HandshakeSide.Dialer, (result) => {
+      const link = this.createLink(socket, HandshakeSide.Dialer, (result) => {
         if (result.isOk()) this.outgoing.set(key, link);
         resolve(result);
       });
     });
   }
 
-  private adopt(
+  private createLink(
     socket: Socket,
     side: HandshakeSide,
     onSettled: (result: Result<PeerLink, GladespoolError>) => void,
@@ -138,7 +138,7 @@
           for (const handler of this.handlers) handler.onFrame(from, frame);
         },
         onClose: (closed, error) => {
-          this.forget(closed, error);
+          this.removeLink(closed, error);
           onSettled(err(error));
         },
       },
@@ -147,7 +147,7 @@
     return link;
   }
 
-  private forget(link: PeerLink, error: GladespoolError): void {
+  private removeLink(link: PeerLink, error: GladespoolError): void {
     this.links.delete(link);
     for (const [key, held] of this.outgoing) if (held === link) this.outgoing.delete(key);
     if (this.incoming.get(link.host) === link) this.incoming.delete(link.host);
--- a/packages/peers/tests/handshake.feature
+++ b/packages/peers/tests/handshake.feature
@@ -1,4 +1,4 @@
-Feature: Links between hosts are opened only by holders of the deployment's key
+Feature: Only holders of the deployment's key can open links to hosts
 
   Scenario Outline: A dialer that does not follow the handshake gets no link
     When a dialer sends "<frames>" to a listener
