--- a/packages/protocol/src/config/bundle-head.ts
+++ b/packages/protocol/src/config/bundle-head.ts
@@ -1,35 +1,34 @@
 /**
- * The head of a bundle as it lies in the store and travels between hosts: manifest, signatures and
- * the chain of earlier heads at which the operators changed, which lets a host that holds an older
- * bundle, or none, follow the change of signers.
+ * Head of a bundle in the store and in frames: manifest, signatures, and the chain of earlier heads that changed the
+ * operators. The chain lets a host with an older bundle, or with none, verify the changes of signers.
  */
 import * as z from 'zod';
 import { readJson } from '../json-text.js';
 import type { BundleSignature } from './bundle-signature.js';
 
-const signed = z.object({
+const signedManifestSchema = z.object({
   manifest: z.string(),
   signatures: z.array(z.object({ operator: z.string(), signature: z.string() })),
 });
 
-const linkSchema = signed.extend({
-  /** Text of the part that names the operators in force after this head. */
+const chainLinkSchema = signedManifestSchema.extend({
+  /** Text of the part that lists the operators from this head on. */
   core: z.string(),
 });
 
-const headSchema = signed.extend({
-  /** Identifies the publishing, so that a lost reply can be settled by reading back. */
+const headSchema = signedManifestSchema.extend({
+  /** Identifies the publication, so that its outcome can be determined by reading back if the reply is lost. */
   change: z.string(),
-  /** Heads that changed the operators, oldest first. */
-  chain: z.array(linkSchema),
-  /** Texts of parts that the version before lacked, so that relays need not read them. */
+  /** Earlier heads that changed the operators, oldest first. */
+  chain: z.array(chainLinkSchema),
+  /** Texts of parts that are new in this version, so that relays need not read them from the store. */
   fresh: z.array(z.string()).default([]),
 });
 
 /** A signed manifest. */
-export type SignedManifest = z.infer<typeof signed>;
-/** One change of operators. */
-export type ChainLink = z.infer<typeof linkSchema>;
+export type SignedManifest = z.infer<typeof signedManifestSchema>;
+/** A head that changed the operators. */
+export type ChainLink = z.infer<typeof chainLinkSchema>;
 /** Head of a bundle. */
 export type BundleHead = z.infer<typeof headSchema>;
 
@@ -38,7 +37,7 @@
   return JSON.stringify(head);
 }
 
-/** Decodes a head; undefined when it is malformed. */
+/** Decodes a head; undefined if it is malformed. */
 export function decodeHead(text: string): BundleHead | undefined {
   return readJson(headSchema, text);
 }
--- a/packages/protocol/src/config/bundle-signature.ts
+++ b/packages/protocol/src/config/bundle-signature.ts
@@ -1,6 +1,6 @@
 /**
- * Signatures over a bundle's manifest: Ed25519 (RFC 8032), counted against the operators and the
- * threshold of the bundle in force.
+ * Ed25519 signatures (RFC 8032) of bundle manifests. Whether they suffice depends on the operators and the threshold of
+ * the active bundle.
  */
 import { createPrivateKey, createPublicKey, generateKeyPairSync, sign, verify } from 'node:crypto';
 import type { TrustRoot } from './host-settings.js';
@@ -42,7 +42,7 @@
   return { operator, signature };
 }
 
-/** Names of the operators of `trust` whose signatures hold, each counted once. */
+/** Names of the operators of `trust` with a valid signature, each listed once. */
 export function validSigners(
   manifest: string,
   signatures: readonly BundleSignature[],
@@ -59,7 +59,7 @@
   return valid.map((operator) => operator.name);
 }
 
-/** Whether enough operators signed. */
+/** Whether enough operators have signed. */
 export function isAuthorized(
   manifest: string,
   signatures: readonly BundleSignature[],
--- a/packages/protocol/src/config/bundle.ts
+++ b/packages/protocol/src/config/bundle.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' configuration bundle: one INI document, split into parts by content hash so that
- * a change of one group moves little, under a signed manifest that lists the parts.
+ * The operators' configuration bundle: an INI document, split into content-addressed parts so that a change of one
+ * group transfers little data, and a signed manifest that lists the parts.
  */
 import { createHash } from 'node:crypto';
 import type { GroupSpec, UpstreamSpec } from '@gladespool/coordination';
@@ -25,9 +25,9 @@
 
 const PUBLIC_KEY_BYTES = 32;
 const DEFAULT_CONNECTIONS = 25;
-/** Parts per set of availability zones; at 3,800 groups over 7 regions a part holds about 34. */
+/** Parts per set of availability zones; with 3,800 groups in 7 regions, a part holds about 34 groups. */
 const BUCKETS_PER_ZONE_SET = 16;
-/** Zones of a part that every host needs. */
+/** Zones of a part that all hosts need. */
 const ALL_ZONES = '*';
 const HASH_LENGTH = 32;
 
@@ -57,12 +57,12 @@
   state: oneOf([UpstreamState.Active, UpstreamState.Leaving]).default(UpstreamState.Active),
 });
 
-/** A bundle as hosts use it. */
+/** A decoded bundle. */
 export interface Bundle {
   readonly version: number;
-  /** Version that it was made from; 0 for the first. */
+  /** Version on which it is based; 0 for the first bundle. */
   readonly base: number;
-  /** Signatures that the next version needs. */
+  /** Number of signatures that the next version needs. */
   readonly threshold: number;
   readonly operators: readonly OperatorKey[];
   readonly groups: readonly GroupSpec[];
@@ -73,7 +73,7 @@
 
 type Faults = readonly ConfigFault[];
 
-/** Reads and checks a bundle; every fault is reported at once. */
+/** Decodes and validates a bundle; reports all faults at once. */
 export function readBundle(file: string, text: string): Result<Bundle, Faults> {
   const document = new IniDocument(file, withoutSignatures(text));
   const core = coreOf(document);
@@ -81,13 +81,13 @@
   return document.finish<Bundle>(core === undefined ? undefined : { ...core, groups });
 }
 
-/** Reads the first part of a split bundle. */
+/** Decodes the first part of a split bundle. */
 export function readBundleCore(file: string, text: string): Result<BundleCore, Faults> {
   const document = new IniDocument(file, text);
   return document.finish<BundleCore>(coreOf(document));
 }
 
-/** Reads one of the other parts of a split bundle. */
+/** Decodes one of the other parts of a split bundle. */
 export function readBundleGroups(file: string, text: string): Result<readonly GroupSpec[], Faults> {
   const document = new IniDocument(file, text);
   return document.finish(groupsOf(document));
@@ -115,9 +115,9 @@
   const upstreams = document.nested('upstream', upstreamSection);
   const byGroup = new Map<string, UpstreamSpec[]>();
   for (const section of upstreams) {
-    const held = byGroup.get(section.outer);
-    if (held === undefined) byGroup.set(section.outer, [specOf(section)]);
-    else held.push(specOf(section));
+    const existing = byGroup.get(section.outer);
+    if (existing === undefined) byGroup.set(section.outer, [specOf(section)]);
+    else existing.push(specOf(section));
   }
   const specs = groups.map(({ name: id, value }) => ({
     id: groupId(id),
@@ -175,36 +175,36 @@
 
 const SIGNATURES_LINE = /^\[signatures\]\s*$/m;
 
-/** The document without its signatures: what the parts are made from. */
+/** Returns the document without its signatures, from which the parts are created. */
 export function withoutSignatures(text: string): string {
   const match = SIGNATURES_LINE.exec(text);
   return match === null ? text : text.slice(0, match.index);
 }
 
-/** A piece of a bundle, addressed by the hash of its text. */
+/** A part of a bundle, addressed by the hash of its text. */
 export interface BundlePart {
   readonly hash: string;
-  /** Availability zones that need it, joined by commas, or `*`. */
+  /** Comma-separated availability zones that need the part, or `*` for all. */
   readonly zones: string;
   readonly text: string;
 }
 
-/** A bundle split for storing and spreading. */
+/** A bundle split for storage and distribution. */
 export interface SplitBundle {
-  /** Head and operators first, then groups by zones and bucket. */
+  /** Head and operators first, followed by the groups by zones and bucket. */
   readonly parts: readonly BundlePart[];
-  /** Text that operators sign: version, base, and each part's hash and zones. */
+  /** Text signed by operators: version, base, and hash and zones of each part. */
   readonly manifest: string;
 }
 
-/** Splits a bundle; the same bundle gives the same parts whatever its layout or comments. */
+/** Splits a bundle. The parts depend only on its content, not on the layout or comments of its text. */
 export function splitBundle(bundle: Bundle): SplitBundle {
   const buckets = new Map<string, GroupSpec[]>();
   for (const group of bundle.groups) {
     const key = `${zonesOf(group)}#${hash32(group.id) % BUCKETS_PER_ZONE_SET}`;
-    const held = buckets.get(key);
-    if (held === undefined) buckets.set(key, [group]);
-    else held.push(group);
+    const existing = buckets.get(key);
+    if (existing === undefined) buckets.set(key, [group]);
+    else existing.push(group);
   }
   const ordered = [...buckets].sort(([a], [b]) => (a < b ? -1 : 1));
   const parts = [
@@ -219,21 +219,21 @@
   return [...new Set(group.upstreams.map((spec) => spec.az))].sort().join(',');
 }
 
-/** A part as a manifest lists it. */
+/** Entry of a part in a manifest. */
 export interface ListedPart {
   readonly hash: string;
   readonly zones: string;
 }
 
-/** Version, base and parts of a manifest. */
+/** A decoded manifest. */
 export interface Manifest {
   readonly version: number;
   readonly base: number;
-  /** The first one holds the head and the operators. */
+  /** The first part contains the head and the operators. */
   readonly parts: readonly [ListedPart, ...ListedPart[]];
 }
 
-/** Reads a manifest; undefined when it is malformed. */
+/** Decodes a manifest; undefined if it is malformed. */
 export function readManifest(text: string): Manifest | undefined {
   const [head, ...lines] = text.trimEnd().split('\n');
   const match = /^(\d+) (\d+)$/.exec(head ?? '');
@@ -250,7 +250,7 @@
   return hash === undefined || zones === undefined ? undefined : { hash, zones };
 }
 
-/** Whether a host of `az` needs a part. */
+/** Whether hosts in `az` need a part. */
 export function isNeededInZone(part: ListedPart, az: string): boolean {
   return part.zones === ALL_ZONES || part.zones.split(',').includes(az);
 }
@@ -260,7 +260,7 @@
   return createHash('sha256').update(text).digest('hex').slice(0, HASH_LENGTH);
 }
 
-/** Joins parts into one document. */
+/** Joins the texts of parts into one document. */
 export function joinParts(texts: readonly string[]): string {
   return texts.join('\n');
 }
--- a/packages/protocol/src/config/fields.ts
+++ b/packages/protocol/src/config/fields.ts
@@ -1,5 +1,5 @@
 /**
- * Field types that settings and bundles share; every message says what is allowed.
+ * Field types of settings and bundles; error messages say what is allowed.
  */
 import { isIP } from 'node:net';
 import * as z from 'zod';
@@ -7,7 +7,7 @@
 const MAX_PORT = 65_535;
 const NAME = /^[A-Za-z0-9_-]{1,63}$/;
 
-/** Whole number in a range. */
+/** Integer in a range, bounds included. */
 export function integerBetween(low: number, high: number): z.ZodType<number, string | number> {
   const message = `whole number from ${low} to ${high}`;
   return z.coerce
@@ -17,7 +17,7 @@
     .max(high, { error: message }) as unknown as z.ZodType<number, string | number>;
 }
 
-/** Port to listen on; 0 chooses a free one. */
+/** Port to listen on; 0 selects a free one. */
 export const port = integerBetween(0, MAX_PORT);
 
 /** IP address. */
@@ -30,14 +30,14 @@
   .string({ error: 'name of letters, digits, _ and -, at most 63' })
   .regex(NAME, { error: 'name of letters, digits, _ and -, at most 63' });
 
-/** One of a closed set. */
+/** One of a fixed set of values. */
 export function oneOf<Value extends string>(
   values: readonly [Value, ...Value[]],
 ): z.ZodType<Value, string> {
   return z.enum(values, { error: `one of ${values.join(', ')}` });
 }
 
-/** Bytes in base64, of a least length. */
+/** Base64-encoded bytes of a minimum length. */
 export function base64Bytes(leastBytes: number): z.ZodType<Buffer, string> {
   const message = `base64 of at least ${leastBytes} bytes`;
   return z
@@ -46,7 +46,7 @@
     .refine((bytes) => bytes.length >= leastBytes, { error: message });
 }
 
-/** Boolean as INI gives it. */
+/** Boolean in an INI text. */
 export const yesNo = z
   .union([z.boolean(), z.enum(['yes', 'no', 'true', 'false'])], { error: 'yes or no' })
   .transform((value) => value === true || value === 'yes' || value === 'true');
--- a/packages/protocol/src/config/host-settings.ts
+++ b/packages/protocol/src/config/host-settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of one host: its addresses, availability zone, keys and limits, read from an INI file.
+ * Settings of one host, read from an INI file: addresses, availability zone, keys and limits.
  */
 import type { AzId, HostId } from '@gladespool/coordination';
 import { azId, hostId } from '@gladespool/coordination';
@@ -116,7 +116,7 @@
   key: base64Bytes(32).describe('Ed25519 public key of an operator trusted at first, base64.'),
 });
 
-/** Plain sections by name, for the checks and for `settings show`. */
+/** Unnamed sections, for validation and for `settings show`. */
 export const SETTINGS_SECTIONS = {
   host: hostSection,
   listen: listenSection,
@@ -128,7 +128,7 @@
   trust: trustSection,
 } as const;
 
-/** Sections of which there may be several, as `[prefix.name]`. */
+/** Sections that may occur several times, as `[prefix.name]`. */
 export const SETTINGS_NAMED_SECTIONS = {
   user: userSection,
   token_key: tokenKeySection,
@@ -142,13 +142,13 @@
   readonly key: Buffer;
 }
 
-/** Operators whose signatures count, and how many are needed. */
+/** Trusted operators and the number of their signatures needed. */
 export interface TrustRoot {
   readonly operators: readonly OperatorKey[];
   readonly threshold: number;
 }
 
-/** Checked settings of a host. */
+/** Validated settings of a host. */
 export interface HostSettings {
   readonly host: HostId;
   readonly az: AzId;
@@ -163,7 +163,7 @@
   readonly trust: TrustRoot;
 }
 
-/** Reads settings; every fault is reported at once. */
+/** Decodes settings; reports all faults at once. */
 export function readHostSettings(
   file: string,
   text: string,
--- a/packages/protocol/src/config/ini-document.ts
+++ b/packages/protocol/src/config/ini-document.ts
@@ -1,25 +1,25 @@
 /**
- * Reads INI texts section by section and reports every fault at once, each with its place.
+ * Reads INI texts section by section and reports all faults at once, each with its location.
  */
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 import { parse } from 'ini';
 import type { z } from 'zod';
 
-/** One fault of a document. */
+/** A fault in a document. */
 export interface ConfigFault {
-  /** File or document that holds the fault. */
+  /** File or document with the fault. */
   readonly file: string;
   readonly section: string;
-  /** Key; empty when the whole section is at fault. */
+  /** Key with the fault; empty if it is in the whole section. */
   readonly key: string;
-  /** Value seen; undefined when it is missing. */
+  /** Value found; undefined if it is missing. */
   readonly seen: string | undefined;
-  /** What is allowed. */
+  /** Description of allowed values. */
   readonly allowed: string;
 }
 
-/** Formats a fault on one line. */
+/** Formats a fault as a single line. */
 export function formatFault(fault: ConfigFault): string {
   const place = `${fault.file}: [${fault.section}]${fault.key === '' ? '' : ` ${fault.key}`}`;
   const seen = fault.seen === undefined ? 'missing' : `seen "${fault.seen}"`;
@@ -31,7 +31,7 @@
 /** A parsed INI text. */
 export class IniDocument {
   private readonly root: Section;
-  private readonly taken = new Set<string>();
+  private readonly readSections = new Set<string>();
   private readonly found: ConfigFault[] = [];
 
   constructor(
@@ -46,14 +46,14 @@
     return this.found;
   }
 
-  /** Notes a fault. */
+  /** Records a fault. */
   report(fault: Omit<ConfigFault, 'file'>): void {
     this.found.push({ file: this.file, ...fault });
   }
 
-  /** Reads the section `name` by a strict schema; undefined when it has faults. */
+  /** Reads the section `name` with a strict schema; undefined if it has faults. */
   section<Schema extends z.ZodType>(name: string, schema: Schema): z.output<Schema> | undefined {
-    this.taken.add(name);
+    this.readSections.add(name);
     const values = this.root[name] ?? {};
     return this.check(name, values, schema);
   }
@@ -63,7 +63,7 @@
     prefix: string,
     schema: Schema,
   ): readonly NamedSection<z.output<Schema>>[] {
-    this.taken.add(prefix);
+    this.readSections.add(prefix);
     const sections = asSection(this.root[prefix]);
     return Object.entries(sections).flatMap(([name, values]) => {
       const value = this.check(`${prefix}.${name}`, values, schema);
@@ -76,7 +76,7 @@
     prefix: string,
     schema: Schema,
   ): readonly NestedSection<z.output<Schema>>[] {
-    this.taken.add(prefix);
+    this.readSections.add(prefix);
     const outer = asSection(this.root[prefix]);
     return Object.entries(outer).flatMap(([outerName, inner]) =>
       Object.entries(asSection(inner)).flatMap(([name, values]) => {
@@ -86,10 +86,10 @@
     );
   }
 
-  /** Notes every section that no schema took, then gives the faults or the value. */
+  /** Records a fault for each section that was not read, then returns the faults or the value. */
   finish<Value>(value: Value | undefined): Result<Value, readonly ConfigFault[]> {
     for (const [name, content] of Object.entries(this.root)) {
-      if (this.taken.has(name)) continue;
+      if (this.readSections.has(name)) continue;
       const isSection = typeof content === 'object' && content !== null;
       const section = isSection ? name : '';
       this.report({ section, key: isSection ? '' : name, seen: name, allowed: 'no such name' });
@@ -123,13 +123,13 @@
   }
 }
 
-/** A section with its name. */
+/** A section `[prefix.name]`. */
 export interface NamedSection<Value> {
   readonly name: string;
   readonly value: Value;
 }
 
-/** A section of two names. */
+/** A section `[prefix.outer.name]`. */
 export interface NestedSection<Value> extends NamedSection<Value> {
   readonly outer: string;
 }
--- a/packages/protocol/src/json-text.ts
+++ b/packages/protocol/src/json-text.ts
@@ -1,11 +1,11 @@
 /**
- * Reads JSON texts by a schema.
+ * Parses and validates JSON texts.
  */
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 import type { z } from 'zod';
 
-/** Value of a JSON text; undefined when it is no JSON or not of the schema. */
+/** Parses a JSON text; undefined if it is not JSON or does not match the schema. */
 export function readJson<Schema extends z.ZodType>(
   schema: Schema,
   text: string,
@@ -13,7 +13,7 @@
   return parseJson(schema, text).unwrapOr(undefined);
 }
 
-/** Value of a JSON text, or which place of it is wrong and why; values of the text are not told. */
+/** Parses a JSON text; the error names the path of the invalid field and the reason, without values of the text. */
 export function parseJson<Schema extends z.ZodType>(
   schema: Schema,
   text: string,
@@ -31,29 +31,29 @@
 }
 
 /**
- * Characters of one host's or upstream's document at most: two hundred times what its fields take, and parsed
- * in a millisecond, so that no document of another writer holds a host up.
+ * Maximum length of a host's or upstream's document, characters. It is two hundred times what the fields take, and
+ * parsing it takes a millisecond, so that a document of another writer cannot block a host.
  */
 export const MAX_ENTRY_CHARS = 65_536;
-/** Levels of a stored document at most; the deepest that is used has four. */
+/** Maximum nesting depth of a stored document; the deepest one in use has four levels. */
 const MAX_DEPTH = 32;
-/** What stands in a text for bytes that are no UTF-8. */
-const LOST_BYTES = '\uFFFD';
+/** Replacement character that decoding puts in place of bytes that are not UTF-8. */
+const REPLACEMENT_CHARACTER = '\uFFFD';
 
-/** Like `parseJson`, for a text that any writer may have stored: size and depth are checked before it is parsed. */
+/** Like `parseJson`, for a text that any writer may have stored: checks length and depth before parsing. */
 export function parseUntrustedJson<Schema extends z.ZodType>(
   schema: Schema,
   text: string,
   maxChars: number,
 ): Result<z.output<Schema>, string> {
   if (text.length > maxChars) return err('too long');
-  if (text.includes(LOST_BYTES)) return err('no UTF-8');
-  if (depthOf(text) > MAX_DEPTH) return err('nested too deeply');
+  if (text.includes(REPLACEMENT_CHARACTER)) return err('no UTF-8');
+  if (nestingDepth(text) > MAX_DEPTH) return err('nested too deeply');
   return parseJson(schema, text);
 }
 
-/** Codes of the characters that make the depth of a JSON text. */
-const CODES = {
+/** Character codes that matter for the nesting depth of a JSON text. */
+const CHARACTER_CODES = {
   quote: 0x22,
   openingBracket: 0x5b,
   backslash: 0x5c,
@@ -63,21 +63,22 @@
 } as const;
 
 /**
- * Levels of the objects and arrays in a JSON text, without parsing it: a megabyte of brackets takes the parser
- * 0.2 s (one call on a loaded machine), in which the host would serve nobody.
+ * Nesting depth of objects and arrays in a JSON text, without parsing it. Parsing a megabyte of brackets takes 0.2 s
+ * (one call on a loaded machine), which would block the host.
  */
-function depthOf(text: string): number {
+function nestingDepth(text: string): number {
   let depth = 0;
   let deepest = 0;
   let isString = false;
   for (let at = 0; at < text.length; at += 1) {
     const code = text.charCodeAt(at);
-    if (code === CODES.quote) isString = !isString;
-    else if (isString) at += code === CODES.backslash ? 1 : 0;
-    else if (code === CODES.openingBracket || code === CODES.openingBrace) {
+    if (code === CHARACTER_CODES.quote) isString = !isString;
+    else if (isString) at += code === CHARACTER_CODES.backslash ? 1 : 0;
+    else if (code === CHARACTER_CODES.openingBracket || code === CHARACTER_CODES.openingBrace) {
       depth += 1;
       deepest = Math.max(deepest, depth);
-    } else if (code === CODES.closingBracket || code === CODES.closingBrace) depth -= 1;
+    } else if (code === CHARACTER_CODES.closingBracket || code === CHARACTER_CODES.closingBrace)
+      depth -= 1;
   }
   return deepest;
 }
--- a/packages/protocol/src/peer/frame-codec.ts
+++ b/packages/protocol/src/peer/frame-codec.ts
@@ -1,5 +1,5 @@
 /**
- * Frames on a byte stream: 32-bit big-endian length, then CBOR (RFC 8949).
+ * Encodes frames on a byte stream: a 32-bit big-endian length, followed by CBOR (RFC 8949).
  */
 import type { GladespoolError } from '@gladespool/coordination';
 import { gladespoolError, Step } from '@gladespool/coordination';
@@ -11,13 +11,13 @@
 import { frameSchema } from './frame.js';
 
 const LENGTH_BYTES = 4;
-/** Largest frame, bytes; a whole answer must fit. */
+/** Maximum frame size, bytes; a complete answer must fit. */
 export const MAX_FRAME_BYTES = 20 * 1024 * 1024;
 
 /**
- * Fields that frames of statements carry, written as their place in this list: a forwarded read takes 172
- * bytes in place of 364 and its answer 38 fewer (encoded by hand, 500 bytes of rows). A change of the order
- * is another version of the protocol.
+ * Field names in statement frames, encoded as their position in this list. A forwarded read takes 172 instead of 364
+ * bytes, and its answer 38 bytes less (encoded by hand, with 500 bytes of rows). Changing the order requires a new
+ * protocol version.
  */
 const SHORT_FIELDS: readonly string[] = [
   ...['kind', 'id', 'operation', 'request', 'transaction', 'route', 'readOnly', 'work', 'values'],
@@ -27,11 +27,11 @@
   ...['committed', 'reason', 'detail', 'retryAfterMs', 'wanted', 'kept', 'granted'],
   ...['regions', 'era', 'revision', 'ownPosition', 'heard', 'newest', 'documentsPosition'],
 ];
-/** Places count from 1: the codec takes 0 for none. */
+/** Positions start at 1, because the codec treats 0 as absent. */
 const keyMap = Object.fromEntries(SHORT_FIELDS.map((field, index) => [field, index + 1]));
 const encoder = new Encoder({ useRecords: false, tagUint8Array: false, keyMap });
 
-/** Encodes one frame with its length. */
+/** Encodes a frame with its length prefix. */
 export function encodeFrame(frame: Frame): Buffer {
   const body = encoder.encode(frame);
   const framed = Buffer.allocUnsafe(LENGTH_BYTES + body.length);
@@ -43,24 +43,24 @@
 /** Decodes the frames of one direction of a link. */
 export class FrameDecoder {
   private readonly chunks: Buffer[] = [];
-  private heldBytes = 0;
+  private bufferedBytes = 0;
 
   constructor(
     private readonly peer: string,
     private readonly maxFrameBytes: number = MAX_FRAME_BYTES,
   ) {}
 
-  /** Adds received bytes and returns the frames completed by them. */
+  /** Adds received bytes and returns the frames they complete. */
   push(chunk: Buffer): Result<readonly Frame[], GladespoolError> {
     this.chunks.push(chunk);
-    this.heldBytes += chunk.length;
+    this.bufferedBytes += chunk.length;
     const frames: Frame[] = [];
     for (;;) {
       const length = this.nextLength();
       if (length === undefined) return ok(frames);
       if (length > this.maxFrameBytes)
         return err(this.fail(`frame of ${length} bytes is too large`));
-      if (this.heldBytes < LENGTH_BYTES + length) return ok(frames);
+      if (this.bufferedBytes < LENGTH_BYTES + length) return ok(frames);
       const frame = this.decodeBody(this.take(LENGTH_BYTES + length).subarray(LENGTH_BYTES));
       if (frame.isErr()) return err(frame.error);
       frames.push(frame.value);
@@ -68,13 +68,13 @@
   }
 
   private nextLength(): number | undefined {
-    if (this.heldBytes < LENGTH_BYTES) return undefined;
+    if (this.bufferedBytes < LENGTH_BYTES) return undefined;
     const first = this.chunks[0];
     if (first !== undefined && first.length >= LENGTH_BYTES) return first.readUInt32BE(0);
-    return this.joined().readUInt32BE(0);
+    return this.joinChunks().readUInt32BE(0);
   }
 
-  private joined(): Buffer {
+  private joinChunks(): Buffer {
     const [only] = this.chunks;
     if (this.chunks.length === 1 && only !== undefined) return only;
     const all = Buffer.concat(this.chunks);
@@ -83,11 +83,11 @@
   }
 
   private take(size: number): Buffer {
-    const all = this.joined();
+    const all = this.joinChunks();
     const rest = all.subarray(size);
     this.chunks.splice(0, this.chunks.length);
     if (rest.length > 0) this.chunks.push(rest);
-    this.heldBytes = rest.length;
+    this.bufferedBytes = rest.length;
     return all.subarray(0, size);
   }
 
--- a/packages/protocol/src/peer/frame.ts
+++ b/packages/protocol/src/peer/frame.ts
@@ -1,5 +1,5 @@
 /**
- * Messages between the system's own processes: CBOR behind a 32-bit length, checked on arrival.
+ * Messages between hosts: length-prefixed CBOR, validated on arrival.
  */
 import {
   Access,
@@ -14,7 +14,7 @@
 import { TransactionStatus } from '../pg/message-type.js';
 import { removedKeySchema, storeItemSchema, storePositionSchema } from './store-documents.js';
 
-/** Version of this protocol; links between unlike versions are refused in the handshake. */
+/** Version of this protocol; the handshake refuses links between different versions. */
 export const PEER_PROTOCOL_VERSION = 4;
 
 /** Kinds of frames. */
@@ -62,17 +62,17 @@
   ForwardRollback = 'forward-rollback',
 }
 
-/** What a host asks of another one that holds better connections for it. */
+/** Operation that a host forwards to another host with better connections for it. */
 export enum ForwardOperation {
-  /** A single statement. */
+  /** A statement outside a transaction. */
   Run = 'run',
   Begin = 'begin',
-  /** A statement inside a transaction. */
+  /** A statement within a transaction. */
   Step = 'step',
   Commit = 'commit',
 }
 
-/** What a request does, as the entry classified it. */
+/** Kind of a request, as classified by the host that received it from the caller. */
 export enum RunIntent {
   Read = 'read',
   Write = 'write',
@@ -86,21 +86,21 @@
 
 const count = z.int().nonnegative();
 
-/** What has changed of the system's own documents since the position asked for; all of them are small. */
+/** Changes of the gateway's own documents since the requested position; all of these documents are small. */
 const ownChangesSchema = z.object({
-  /** Position of the store up to which the receiver has all of them with these. */
+  /** Store position up to which the receiver is complete after applying these changes. */
   position: storePositionSchema,
   items: z.array(storeItemSchema),
   removed: z.array(removedKeySchema),
 });
 
-/** A proof that one host passes on to another. */
-const passedProofSchema = z.object({
-  /** Age when the question arrived, milliseconds; negative if the proof is from later. */
+/** A proof that one host forwards to another. */
+const forwardedProofSchema = z.object({
+  /** Age when the request arrived, milliseconds; negative if the proof is more recent. */
   ageMs: z.number(),
-  /** Position of the store up to which the receiver must hold the system's own documents. */
+  /** Store position up to which the receiver must have the gateway's own documents. */
   position: storePositionSchema,
-  /** Whether it is from an answer of the store; else from the word of a majority of the hosts. */
+  /** Whether the proof comes from a store response; otherwise from replies of a majority of hosts. */
   isFromStore: z.boolean(),
 });
 const bytes = z.custom<Uint8Array>((value) => value instanceof Uint8Array, 'bytes');
@@ -115,7 +115,7 @@
   })
   .readonly();
 
-/** A group's record as it travels between hosts. */
+/** A group's record in frames. */
 export const recordSchema = z
   .object({
     group: z.string(),
@@ -128,14 +128,14 @@
   })
   .readonly();
 
-/** A member of the deployment as it travels between hosts. */
+/** A member of the deployment in frames. */
 export const memberSchema = z
   .object({
     host: z.string(),
     az: z.string(),
     address: z.string(),
     port: count,
-    /** Start time of the process; a restart is a higher incarnation. */
+    /** Start time of the process, so that a restart has a higher incarnation. */
     incarnation: count,
     state: z.enum(MemberState),
   })
@@ -143,7 +143,7 @@
 
 const sessionPositionSchema = z.object({ epoch: count, position: positionSchema }).readonly();
 
-/** How statements for one database are served, as the forwarding host has it. */
+/** Route of the statement's database, as known to the forwarding host. */
 const forwardRouteSchema = z
   .object({
     database: z.string(),
@@ -157,7 +157,7 @@
   })
   .readonly();
 
-/** A text passed on unchanged, or a prepared shape with its arguments. */
+/** A statement text forwarded unchanged, or a prepared statement with its arguments. */
 const forwardWorkSchema = z
   .object({
     access: z.enum(Access),
@@ -191,29 +191,29 @@
 const partSchema = z.object({ hash: z.string(), text: z.string() }).readonly();
 const id = z.int().nonnegative();
 
-const renewAskSchema = z.object({
+const renewRequestSchema = z.object({
   kind: z.literal(FrameKind.RenewRequest),
   id,
   host: z.string(),
   incarnation: count,
 });
 
-const revokeAskSchema = z.object({
+const revokeRequestSchema = z.object({
   kind: z.literal(FrameKind.RevokeRequest),
   id,
   item: storeItemSchema,
 });
 
-const holdAskSchema = z.object({
+const holdRequestSchema = z.object({
   kind: z.literal(FrameKind.HoldRequest),
   id,
   group: z.string(),
   epoch: count,
-  /** Time for which new writes wait, milliseconds. */
+  /** Time for which new writes are held, milliseconds. */
   holdMs: count,
 });
 
-/** Every frame that may arrive. */
+/** Any valid frame. */
 export const frameSchema = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal(FrameKind.Hello),
@@ -238,13 +238,13 @@
     epoch: count,
     group: z.string(),
     intent: z.enum(RunIntent),
-    /** Handle of the open transaction; 0 when there is none. */
+    /** Handle of the open transaction; 0 if there is none. */
     transaction: count,
     messages: bytes,
     floor: positionSchema,
     barrier: z.boolean(),
     marks: marksSchema,
-    /** Time left for the request, milliseconds. */
+    /** Remaining time of the request, milliseconds. */
     deadlineMs: count,
   }),
   z.object({
@@ -264,11 +264,11 @@
   z.object({
     kind: z.literal(FrameKind.Heartbeat),
     self: memberSchema,
-    /** Version of the bundle in force on the sender; 0 for none. */
+    /** Version of the active bundle on the sender; 0 if there is none. */
     bundleVersion: count,
-    /** Counter of the receiver's news up to which the sender has heard. */
+    /** Counter of the receiver's updates up to which the sender has received them. */
     heardUpTo: count,
-    /** Incarnation of the receiver for which `heardUpTo` counts. */
+    /** Incarnation of the receiver to which `heardUpTo` applies. */
     heardOf: count,
   }),
   z.object({
@@ -277,7 +277,7 @@
     upTo: count,
     members: z.array(memberSchema),
     records: z.array(recordSchema),
-    /** Head of a bundle, as {@link encodeHead} wrote it. */
+    /** Head of a bundle, encoded by `encodeHead`. */
     bundle: z.string().optional(),
   }),
   z.object({ kind: z.literal(FrameKind.PartRequest), hashes: z.array(z.string()) }),
@@ -299,68 +299,72 @@
     id,
     host: z.string(),
     incarnation: count,
-    /** Position of the store up to which the asker has all of the system's own documents. */
+    /** Store position up to which the requester has all of the gateway's own documents. */
     ownPosition: storePositionSchema,
-    /** Position of the latest change that the asker has heard of. */
+    /** Store position of the latest change known to the requester. */
     heard: storePositionSchema,
-    /** Age of the asker's proof, milliseconds; missing without one. */
+    /** Age of the requester's proof, milliseconds; omitted if it has none. */
     proofAgeMs: z.number().optional(),
-    /** Time for which the question may wait for a newer proof or for news, milliseconds. */
+    /** Time for which the reply may be delayed until there is a newer proof or a change, milliseconds. */
     waitMs: count,
   }),
   z.object({
     kind: z.literal(FrameKind.SyncReply),
     id,
-    /** Position of the store up to which the sender is complete. */
+    /** Store position up to which the sender is complete. */
     position: storePositionSchema,
-    /** Position of the latest change that the sender has heard of. */
+    /** Store position of the latest change known to the sender. */
     newest: storePositionSchema,
-    /** Position of the latest change of a document that is fetched apart: configuration, upstreams. */
+    /** Store position of the latest change of separately fetched documents: configuration and upstreams. */
     documentsPosition: storePositionSchema,
-    /** What has changed of the system's own documents; missing where the sender does not know all of it. */
+    /** Changes of the gateway's own documents; omitted if the sender does not know all of them. */
     own: ownChangesSchema.optional(),
-    /** Age of the sender's documents when the question arrived, milliseconds; negative if renewed since. */
+    /** Age of the sender's documents when the request arrived, milliseconds; negative if refreshed since. */
     documentsAgeMs: z.number().optional(),
-    /** A proof that covers the asker; missing if there is none. */
-    proof: passedProofSchema.optional(),
+    /** A proof that covers the requester; omitted if there is none. */
+    proof: forwardedProofSchema.optional(),
   }),
   z.object({
     kind: z.literal(FrameKind.DocumentsRequest),
     id,
-    /** Position of the store up to which the asker is complete. */
+    /** Store position up to which the requester is complete. */
     position: storePositionSchema,
   }),
   z.object({
     kind: z.literal(FrameKind.DocumentsReply),
     id,
-    /** Whether these are all there are; else what changed since the position asked for. */
+    /** Whether these are all documents; otherwise the changes since the requested position. */
     complete: z.boolean(),
-    /** Position of the store up to which the asker is complete with them. */
+    /** Store position up to which the requester is complete after applying them. */
     position: storePositionSchema,
-    /** See `packDocuments`. */
+    /** Encoded by `packDocuments`. */
     packed: bytes,
   }),
   z.object({ kind: z.literal(FrameKind.StoreUpdate), items: z.array(storeItemSchema) }),
-  revokeAskSchema,
+  revokeRequestSchema,
   z.object({ kind: z.literal(FrameKind.RevokeReply), id }),
-  holdAskSchema,
-  /** Asks the receiver to ask the other hosts of its zone. */
+  holdRequestSchema,
+  /** Requests that the receiver sends `question` to the other hosts of its zone. */
   z.object({
     kind: z.literal(FrameKind.RoundRequest),
-    /** Number that the asker gave the round. */
+    /** Number that the requester assigned to the round. */
     round: count,
-    /** Time for which answers are passed on, milliseconds. */
+    /** Time for which replies are forwarded, milliseconds. */
     waitMs: count,
-    question: z.discriminatedUnion('kind', [revokeAskSchema, renewAskSchema, holdAskSchema]),
+    question: z.discriminatedUnion('kind', [
+      revokeRequestSchema,
+      renewRequestSchema,
+      holdRequestSchema,
+    ]),
   }),
-  /** Answers of hosts of the sender's zone; a round has several such frames. */
+  /** Replies of hosts in the sender's zone; a round may take several such frames. */
   z.object({
     kind: z.literal(FrameKind.RoundReplies),
     round: count,
     answers: z.array(z.object({ host: z.string(), incarnation: count })),
-    /** Documents that came with the answers, the newest version of each. */
+    /** Documents received with the replies, the newest version of each. */
     items: z.array(storeItemSchema),
-    /** Whether no more will come. */
+    /** Whether this is the last frame of the round. */
     done: z.boolean(),
   }),
   z.object({ kind: z.literal(FrameKind.HoldReply), id }),
@@ -368,24 +372,24 @@
   z.object({
     kind: z.literal(FrameKind.ReachabilityReply),
     id,
-    /** Missing while the primary accepts connections of the sender and serves none. */
+    /** Omitted while the primary accepts connections from the sender but serves none of them. */
     reaches: z.boolean().optional(),
   }),
   z.object({ kind: z.literal(FrameKind.PingRequest), id }),
   z.object({ kind: z.literal(FrameKind.PingReply), id }),
-  /** Asks whether the receiver reaches a host that is silent to the sender. */
+  /** Asks whether the receiver can reach a host that does not answer the sender. */
   z.object({ kind: z.literal(FrameKind.IndirectPingRequest), id, host: z.string() }),
   z.object({ kind: z.literal(FrameKind.IndirectPingReply), id, reached: z.boolean() }),
-  renewAskSchema,
+  renewRequestSchema,
   z.object({
     kind: z.literal(FrameKind.RenewReply),
     id,
     host: z.string(),
     incarnation: count,
-    /** Every record of a primary that the sender knows, claims that it has acknowledged included. */
+    /** All primary records known to the sender, including claims that it has acknowledged. */
     items: z.array(storeItemSchema),
   }),
-  /** Asks the host that keeps a workspace's allowance for operations that may begin. */
+  /** Requests permission for operations to begin from the owner of a workspace's allowance. */
   z.object({
     kind: z.literal(FrameKind.AllowanceRequest),
     id,
@@ -395,48 +399,48 @@
   z.object({
     kind: z.literal(FrameKind.AllowanceReply),
     id,
-    /** Whether the sender keeps this allowance; if not, the rest tells nothing. */
+    /** Whether the sender owns this allowance; otherwise the other fields are meaningless. */
     kept: z.boolean(),
     granted: count,
-    /** When the next operation will be granted, milliseconds from now. */
+    /** Time until the next operation will be granted, milliseconds. */
     retryAfterMs: count,
   }),
-  /** Asks where a group's primary stood of late, as the receiver saw it under `epoch`. */
+  /** Requests the latest position of a group's primary that the receiver has seen in `epoch`. */
   z.object({ kind: z.literal(FrameKind.WatermarkRequest), id, group: z.string(), epoch: count }),
   z.object({
     kind: z.literal(FrameKind.WatermarkReply),
     id,
-    /** Missing where the receiver has none of that epoch. */
+    /** Omitted if the sender has none for that epoch. */
     mark: z.object({ position: positionSchema, ageMs: z.number().nonnegative() }).optional(),
   }),
   z.object({
     kind: z.literal(FrameKind.ForwardRequest),
     id,
     operation: z.enum(ForwardOperation),
-    /** Id that the caller gave the statement. */
+    /** Statement id assigned by the caller. */
     request: z.string(),
-    /** Handle of the open transaction; 0 when there is none. */
+    /** Handle of the open transaction; 0 if there is none. */
     transaction: count,
     route: forwardRouteSchema.optional(),
-    /** Workspace of the caller; missing where none is asked for. */
+    /** Workspace of the caller; omitted if workspaces are not distinguished. */
     workspace: z.string().optional(),
-    /** Regions that the data may be in; missing where it may be anywhere. */
+    /** Regions in which the data may be; omitted if unrestricted. */
     regions: z.array(z.string()).readonly().optional(),
     readOnly: z.boolean(),
     work: forwardWorkSchema.optional(),
     values: z.array(z.tuple([z.string(), z.string()])),
     own: sessionPositionSchema.optional(),
-    /** Time since the statement or its transaction began, milliseconds. */
+    /** Time since the start of the statement or of its transaction, milliseconds. */
     beganMs: z.number().nonnegative(),
-    /** Time since the statement arrived, milliseconds. */
+    /** Time since the arrival of the statement, milliseconds. */
     arrivedMs: z.number().nonnegative(),
   }),
   z.object({
     kind: z.literal(FrameKind.ForwardReply),
     id,
-    /** Handle of the transaction that a begin opened; else 0. */
+    /** Handle of the transaction opened by a begin; otherwise 0. */
     transaction: count,
-    /** Of the statement; of a begin that failed, or of the statement that came with it. */
+    /** Outcome of the statement, of a failed begin, or of the statement sent along with a begin. */
     outcome: forwardOutcomeSchema.optional(),
   }),
   z.object({ kind: z.literal(FrameKind.ForwardRollback), transaction: count }),
--- a/packages/protocol/src/peer/handshake.ts
+++ b/packages/protocol/src/peer/handshake.ts
@@ -1,18 +1,18 @@
 /**
- * Mutual authentication of two hosts by a shared key: each proves the key over both nonces.
+ * Mutual authentication of two hosts by a shared key: each sends an HMAC over both nonces.
  */
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto';
 
-/** Bytes of a nonce. */
+/** Size of a nonce, bytes. */
 export const NONCE_BYTES = 16;
 
-/** Which side proves the key; part of the proof, so that it can't be reflected. */
+/** Side that proves the key; part of the proof, so that a proof cannot be reflected. */
 export enum HandshakeSide {
   Dialer = 'dialer',
   Listener = 'listener',
 }
 
-/** What a proof covers. */
+/** Data covered by a proof. */
 export interface ProofInput {
   readonly side: HandshakeSide;
   readonly host: string;
@@ -20,12 +20,12 @@
   readonly listenerNonce: Uint8Array;
 }
 
-/** A fresh nonce. */
+/** Creates a random nonce. */
 export function createNonce(): Buffer {
   return randomBytes(NONCE_BYTES);
 }
 
-/** Proof that `host` holds `key`. */
+/** Creates the proof that `host` holds `key`. */
 export function createProof(key: Buffer, input: ProofInput): Buffer {
   const hmac = createHmac('sha256', key);
   hmac.update(`${input.side}|${input.host}|`);
@@ -34,7 +34,7 @@
   return hmac.digest();
 }
 
-/** Checks a proof in constant time. */
+/** Verifies a proof in constant time. */
 export function verifyProof(key: Buffer, input: ProofInput, proof: Uint8Array): boolean {
   const expected = createProof(key, input);
   return proof.length === expected.length && timingSafeEqual(expected, proof);
--- a/packages/protocol/src/peer/record-frame.ts
+++ b/packages/protocol/src/peer/record-frame.ts
@@ -1,12 +1,12 @@
 /**
- * Typed form of a group's record that arrived in a frame or from the store.
+ * Converts group records from frames or from the store to their typed form.
  */
 import type { GroupRecord } from '@gladespool/coordination';
 import { groupId, hostId, upstreamId } from '@gladespool/coordination';
 import type { z } from 'zod';
 import type { recordSchema } from './frame.js';
 
-/** A checked record with its names branded. */
+/** Converts a validated record, branding its names. */
 export function toGroupRecord(record: z.infer<typeof recordSchema>): GroupRecord {
   return {
     ...record,
--- a/packages/protocol/src/peer/store-documents.ts
+++ b/packages/protocol/src/peer/store-documents.ts
@@ -1,6 +1,6 @@
 /**
- * Documents of the metadata store as they travel between hosts. The operators' configuration can be
- * hundreds of kilobytes of text, and hosts may have links of a few megabits: it is sent deflated.
+ * Documents of the metadata store in frames. They are compressed, because the operators' configuration can take
+ * hundreds of kilobytes and hosts may have links of a few megabits per second.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import type { GladespoolError } from '@gladespool/coordination';
@@ -15,7 +15,7 @@
 /** A position in the history of the metadata store. */
 export const storePositionSchema = z.object({ era: count, revision: count }).readonly();
 
-/** A key of the metadata store as it travels between hosts. */
+/** A key of the metadata store with its value, in frames. */
 export const storeItemSchema = z
   .object({ key: z.string(), value: z.string(), position: storePositionSchema })
   .readonly();
@@ -35,15 +35,15 @@
 /** Documents that were written and keys that were removed. */
 export type StoreDocuments = z.infer<typeof storeDocumentsSchema>;
 
-/** Longest text that is unpacked, bytes: 32 documents of the longest value that the store takes. */
+/** Maximum size of unpacked documents, bytes: 32 documents of the maximum value size of the store. */
 const MAX_TEXT_BYTES = 32 * 1024 * 1024;
 
-/** Packs documents into few bytes. */
+/** Compresses documents. */
 export function packDocuments(documents: StoreDocuments): Uint8Array {
   return deflateRawSync(JSON.stringify(documents));
 }
 
-/** Unpacks documents that `peer` sent. */
+/** Decompresses and validates documents sent by `peer`. */
 export function unpackDocuments(
   packed: Uint8Array,
   peer: string,
--- a/packages/protocol/src/pg/backend-message.ts
+++ b/packages/protocol/src/pg/backend-message.ts
@@ -1,5 +1,5 @@
 /**
- * Encodes the server messages that the proxy and the stand-ins send themselves.
+ * Encodes the backend messages that the proxy and the stand-ins generate.
  */
 import { Writer } from 'pg-protocol/dist/buffer-writer.js';
 import type { TransactionStatus } from './message-type.js';
@@ -54,7 +54,7 @@
   return Buffer.from(new Writer().addCString(tag).flush(BackendType.CommandComplete));
 }
 
-/** A message without a body. */
+/** Encodes a message without a body. */
 export function encodeWithoutBody(type: BackendType): Buffer {
   return Buffer.from(new Writer().flush(type));
 }
@@ -87,7 +87,7 @@
   writer.addInt32(bytes.length).add(bytes);
 }
 
-/** ParameterDescription that reports every parameter as text. */
+/** ParameterDescription that declares every parameter as text. */
 export function encodeParameterDescription(count: number): Buffer {
   const writer = new Writer().addInt16(count);
   for (let i = 0; i < count; i += 1) writer.addInt32(TEXT_TYPE_OID);
--- a/packages/protocol/src/pg/frontend-message.ts
+++ b/packages/protocol/src/pg/frontend-message.ts
@@ -1,17 +1,17 @@
 /**
- * Reads the parts of caller messages that the proxy decides on. Bodies come from callers, so every
- * read is bounds-checked and a malformed one gives `undefined`.
+ * Decodes the parts of frontend messages that the proxy acts on. Since callers are not trusted, every read is
+ * bounds-checked; malformed messages decode to `undefined`.
  */
 import { MESSAGE_HEADER_BYTES } from './message-splitter.js';
 import { FrontendType } from './message-type.js';
 
-/** Kind of object that Describe and Close name. */
+/** Kind of object that Describe and Close refer to. */
 export enum TargetKind {
   Statement = 'S',
   Portal = 'P',
 }
 
-/** A caller message as far as the proxy reads it. */
+/** The parts of a frontend message that the proxy reads. */
 export type FrontendMessage =
   | { readonly type: FrontendType.Query; readonly sql: string }
   | { readonly type: FrontendType.Parse; readonly statement: string; readonly sql: string }
@@ -31,18 +31,18 @@
   Object.values(TargetKind).map((kind) => [kind, kind]),
 );
 
-/** Type of a caller message; undefined when its type byte is unknown. */
+/** Type of a frontend message; undefined if its type byte is unknown. */
 export function frontendTypeOf(message: Buffer): FrontendType | undefined {
   return TYPES.get(message[0] ?? 0);
 }
 
 interface CString {
   readonly text: string;
-  /** Offset behind the terminator. */
+  /** Offset after the terminator. */
   readonly next: number;
 }
 
-/** Decodes one message; undefined when it is malformed or of a type that the proxy does not take. */
+/** Decodes a message; undefined if it is malformed or of a type that the proxy does not support. */
 export function decodeFrontend(message: Buffer): FrontendMessage | undefined {
   const type = frontendTypeOf(message);
   switch (type) {
--- a/packages/protocol/src/pg/login.ts
+++ b/packages/protocol/src/pg/login.ts
@@ -1,7 +1,7 @@
 /**
- * Start-up, TLS and password check of a connection, by `pg-gateway`; afterwards the socket is handed
- * over. Start-up bodies are checked before the library reads them, because its reader does not
- * stop at the end of a malformed one.
+ * Performs startup, TLS negotiation and password authentication of a connection with `pg-gateway`, then hands over the
+ * socket. Startup packets are validated before the library reads them, because its reader does not stop at the end of
+ * a malformed one.
  */
 import { randomInt } from 'node:crypto';
 import type { Socket } from 'node:net';
@@ -12,25 +12,25 @@
 import { encodeError, encodeParameterStatus, encodeReady } from './backend-message.js';
 import { TransactionStatus } from './message-type.js';
 
-/** What a logged-in connection is. */
+/** An authenticated connection. */
 export interface LoginInfo {
-  /** The socket to go on with; the TLS socket after an upgrade. */
+  /** Socket to continue with; the TLS socket after an upgrade. */
   readonly socket: Socket;
   readonly user: string;
   readonly database: string;
-  /** Every start-up parameter. */
+  /** All startup parameters. */
   readonly parameters: ReadonlyMap<string, string>;
-  /** Identity under which the connection's statements can be canceled. */
+  /** Key with which the connection's statements can be canceled. */
   readonly key: CancelKey;
 }
 
-/** Identity in a cancel request. */
+/** Key in a cancel request. */
 export interface CancelKey {
   readonly processId: number;
   readonly secret: number;
 }
 
-/** Why a login ended. */
+/** Reason for a failed login. */
 export enum LoginFault {
   Timeout = 'timeout',
   TooLarge = 'too-large',
@@ -41,22 +41,22 @@
 /** Options of a login. */
 export interface LoginOptions {
   readonly socket: Socket;
-  /** Password of a user; undefined for an unknown user. */
+  /** Returns the password of a user; undefined for an unknown user. */
   readonly passwordOf: (user: string) => string | undefined;
-  /** Certificate and key; undefined refuses TLS. */
+  /** Certificate and key; TLS is refused if undefined. */
   readonly tls: TlsOptions | undefined;
-  /** Time allowed from accept to login, milliseconds. */
+  /** Maximum time from accept to login, milliseconds. */
   readonly timeoutMs: number;
-  /** Parameters reported after login. */
+  /** Server parameters reported after login. */
   readonly reportedParameters: ReadonlyMap<string, string>;
-  /** Delays or refuses a login once its parameters are known; an error ends the connection. */
+  /** Delays or refuses a login once its parameters are known; a returned error ends the connection. */
   readonly admit?: (parameters: ReadonlyMap<string, string>) => Promise<ErrorFields | undefined>;
   readonly onLogin: (info: LoginInfo) => void;
   readonly onFault: (fault: LoginFault) => void;
   readonly onCancel: (key: CancelKey) => void;
 }
 
-/** Bytes accepted before login; PostgreSQL itself takes start-up packets of 10,000 bytes. */
+/** Maximum number of bytes before login; PostgreSQL accepts startup packets of up to 10,000 bytes. */
 const MAX_LOGIN_BYTES = 10_000;
 const CANCEL_CODE = 80877102;
 const CANCEL_LENGTH = 16;
@@ -66,7 +66,7 @@
 const BACKEND_KEY_DATA = 0x4b;
 const TLS_REQUEST_CODE = 80877103;
 
-/** Runs the login of one connection. */
+/** Starts the login of a connection. */
 export function startLogin(options: LoginOptions): void {
   const login = new Login(options);
   login.begin();
@@ -89,7 +89,7 @@
 
   begin(): void {
     this.timer = setTimeout(() => {
-      this.end(LoginFault.Timeout);
+      this.abort(LoginFault.Timeout);
     }, this.login.timeoutMs);
     this.login.socket.once('close', () => {
       clearTimeout(this.timer);
@@ -103,7 +103,7 @@
     if (this.done) return;
     this.bytes += data.length;
     if (this.bytes > MAX_LOGIN_BYTES) {
-      this.end(LoginFault.TooLarge);
+      this.abort(LoginFault.TooLarge);
       return;
     }
     await super.handleData(data);
@@ -133,26 +133,26 @@
     const password = this.login.passwordOf(credentials.user);
     const expected = await hashMd5Password(credentials.user, password ?? '', credentials.salt);
     const valid = password !== undefined && expected === credentials.hash;
-    if (!valid) this.note(LoginFault.WrongPassword);
+    if (!valid) this.settle(LoginFault.WrongPassword);
     return valid;
   }
 
   private async admit(): Promise<boolean> {
     const refusal = await this.login.admit?.(this.parameters());
     if (refusal === undefined) return false;
-    this.note(undefined);
+    this.settle(undefined);
     this.sendData(encodeError(refusal));
     this.socket.end();
     return true;
   }
 
-  /** Checks a message before the library reads it; true when it needs no further processing. */
+  /** Validates a message before the library reads it; true if the library must not process it. */
   private inspect(data: Buffer): boolean {
     if (this.hasStarted) return this.rejectUnless(data[data.length - 1] === 0);
     const code = data.length >= STARTUP_BODY_OFFSET ? data.readInt32BE(CODE_OFFSET) : 0;
     if (code === TLS_REQUEST_CODE) return false;
     if (code === CANCEL_CODE && data.length === CANCEL_LENGTH) {
-      this.note(undefined);
+      this.settle(undefined);
       this.login.onCancel({ processId: data.readInt32BE(8), secret: data.readInt32BE(12) });
       this.socket.end();
       return true;
@@ -161,7 +161,7 @@
   }
 
   private rejectUnless(valid: boolean): boolean {
-    if (!valid) this.end(LoginFault.Malformed);
+    if (!valid) this.abort(LoginFault.Malformed);
     return !valid;
   }
 
@@ -169,20 +169,20 @@
     return new Map(Object.entries(this.clientInfo?.parameters ?? {}));
   }
 
-  private note(fault: LoginFault | undefined): void {
+  private settle(fault: LoginFault | undefined): void {
     if (this.done) return;
     this.done = true;
     clearTimeout(this.timer);
     if (fault !== undefined) this.login.onFault(fault);
   }
 
-  private end(fault: LoginFault): void {
-    this.note(fault);
+  private abort(fault: LoginFault): void {
+    this.settle(fault);
     this.socket.destroy();
   }
 }
 
-/** Whether a start-up packet is a list of name and value strings closed by an empty name. */
+/** Whether a startup packet is a list of name and value strings terminated by an empty name. */
 export function isStartupBody(packet: Buffer): boolean {
   let offset = STARTUP_BODY_OFFSET;
   for (;;) {
--- a/packages/protocol/src/pg/message-splitter.ts
+++ b/packages/protocol/src/pg/message-splitter.ts
@@ -1,12 +1,12 @@
 /**
- * Cuts a byte stream into PostgreSQL protocol v3 messages (type byte, 32-bit length, body).
+ * Splits a byte stream into PostgreSQL protocol v3 messages (type byte, 32-bit length, body).
  */
 import { gladespoolError, Step } from '@gladespool/coordination';
 import type { GladespoolError } from '@gladespool/coordination';
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 
-/** Bytes of a message header: type and length. */
+/** Size of a message header (type and length), bytes. */
 export const MESSAGE_HEADER_BYTES = 5;
 const LENGTH_FIELD_BYTES = 4;
 
@@ -19,12 +19,12 @@
     private readonly peer: string,
   ) {}
 
-  /** Bytes of an incomplete message held back. */
+  /** Number of buffered bytes of an incomplete message. */
   get heldBytes(): number {
     return this.held.length;
   }
 
-  /** Adds received bytes and returns the messages completed by them, header included. */
+  /** Adds received bytes and returns the messages they complete, including headers. */
   push(chunk: Buffer): Result<readonly Buffer[], GladespoolError> {
     const data = this.held.length === 0 ? chunk : Buffer.concat([this.held, chunk]);
     const messages: Buffer[] = [];
--- a/packages/protocol/src/pg/message-type.ts
+++ b/packages/protocol/src/pg/message-type.ts
@@ -3,7 +3,7 @@
  * Source: PostgreSQL manual, "Message Formats".
  */
 
-/** Messages from caller to server. */
+/** Types of messages from frontend to backend. */
 export enum FrontendType {
   Bind = 0x42,
   Close = 0x43,
@@ -21,7 +21,7 @@
   Terminate = 0x58,
 }
 
-/** Messages from server to caller. */
+/** Types of messages from backend to frontend. */
 export enum BackendType {
   BindComplete = 0x32,
   CloseComplete = 0x33,
@@ -43,7 +43,7 @@
   RowDescription = 0x54,
 }
 
-/** Transaction state in ReadyForQuery. */
+/** Transaction status in ReadyForQuery. */
 export enum TransactionStatus {
   Idle = 'I',
   InTransaction = 'T',
@@ -55,7 +55,7 @@
   Object.values(TransactionStatus).map((status) => [status, status]),
 );
 
-/** Reads the transaction state of a ReadyForQuery message. */
+/** Reads the transaction status of a ReadyForQuery message. */
 export function transactionStatusOf(ready: Buffer): TransactionStatus {
   const code = String.fromCharCode(ready[STATUS_OFFSET] ?? 0);
   return STATUSES.get(code) ?? TransactionStatus.Idle;
--- a/packages/protocol/src/session-token.ts
+++ b/packages/protocol/src/session-token.ts
@@ -1,6 +1,6 @@
 /**
- * Encodes and checks session tokens: opaque to callers, versioned, authenticated by a keyed MAC
- * that covers the user, so that a token can't be forged or carried to another user.
+ * Encodes and verifies session tokens. They are opaque to callers, versioned, and authenticated by a keyed MAC that
+ * covers the user, so that a token cannot be forged or used by another user.
  */
 import { createHmac, timingSafeEqual } from 'node:crypto';
 import type { Refusal, SessionFloor } from '@gladespool/coordination';
@@ -12,7 +12,7 @@
 
 const TOKEN_VERSION = 1;
 const MAC_BYTES = 16;
-/** Longest token accepted, characters: 64 groups with names of 63 bytes stay under it. */
+/** Maximum length of a token, characters; 64 groups with names of 63 bytes fit. */
 export const MAX_TOKEN_LENGTH = 8192;
 
 const encoder = new Encoder({ useRecords: false });
@@ -24,18 +24,18 @@
     .max(MAX_FLOOR_GROUPS),
 ]);
 
-/** A key that authenticates tokens. */
+/** Key that authenticates tokens. */
 export interface TokenKey {
-  /** Short name of the key, so that keys can be rotated. */
+  /** Short name of the key, for key rotation. */
   readonly id: string;
   readonly secret: Buffer;
 }
 
-/** Seals and opens tokens: the first key seals, each of them opens. */
+/** Seals tokens with the first key and opens tokens sealed with any of the keys. */
 export class TokenCodec {
   constructor(private readonly keys: readonly [TokenKey, ...TokenKey[]]) {}
 
-  /** Token for a session of `user`. */
+  /** Returns the token for a session of `user`. */
   seal(user: string, floor: SessionFloor): string {
     const [key] = this.keys;
     const entries = floor.map((entry) => [entry.group, entry.position.term, entry.position.offset]);
@@ -43,22 +43,22 @@
     return Buffer.concat([mac(key, user, body), body]).toString('base64url');
   }
 
-  /** Floor that a token of `user` carries. */
+  /** Returns the session floor in a token of `user`. */
   open(user: string, token: string): Result<SessionFloor, Refusal> {
-    if (token.length > MAX_TOKEN_LENGTH) return err(bad('too long'));
+    if (token.length > MAX_TOKEN_LENGTH) return err(badToken('too long'));
     const bytes = Buffer.from(token, 'base64url');
-    if (bytes.length <= MAC_BYTES) return err(bad('too short'));
+    if (bytes.length <= MAC_BYTES) return err(badToken('too short'));
     const body = bytes.subarray(MAC_BYTES);
     const given = bytes.subarray(0, MAC_BYTES);
     const authentic = this.keys.some((key) => timingSafeEqual(mac(key, user, body), given));
-    if (!authentic) return err(bad('not issued to this user by this deployment'));
+    if (!authentic) return err(badToken('not issued to this user by this deployment'));
     return readBody(body);
   }
 }
 
 function readBody(body: Buffer): Result<SessionFloor, Refusal> {
   const parsed = TokenBody.safeParse(decode(body));
-  if (!parsed.success) return err(bad('of another version'));
+  if (!parsed.success) return err(badToken('of another version'));
   const [, , entries] = parsed.data;
   return ok(
     entries.map(([group, term, offset]) => ({ group: groupId(group), position: { term, offset } })),
@@ -72,6 +72,6 @@
   return hmac.digest().subarray(0, MAC_BYTES);
 }
 
-function bad(what: string): Refusal {
+function badToken(what: string): Refusal {
   return refuse(RefusalReason.BadToken, `token is ${what}`);
 }
--- a/packages/protocol/src/sql/marks-comment.ts
+++ b/packages/protocol/src/sql/marks-comment.ts
@@ -1,6 +1,6 @@
 /**
- * Reads request marks from the trailing comment of a statement, in the published sqlcommenter
- * form: `/*key='url-encoded value',key='value'* /`. Keys of others (such as `traceparent`) are ignored.
+ * Reads request marks from the trailing comment of a statement, in the sqlcommenter format:
+ * `/*key='url-encoded value',key='value'* /`. Other keys, such as `traceparent`, are ignored.
  */
 import type { Refusal, RequestMarks } from '@gladespool/coordination';
 import { NO_MARKS, Priority, RefusalReason, refuse, requestId } from '@gladespool/coordination';
@@ -22,13 +22,13 @@
   priority: z.enum(Priority).optional(),
 });
 
-/** A statement's text without its marks, and the marks. */
+/** A statement text without its marks, and the marks. */
 export interface MarkedStatement {
   readonly sql: string;
   readonly marks: RequestMarks;
 }
 
-/** Splits a statement into text and marks; marks that are ours but not valid are refused. */
+/** Splits a statement into text and marks; refuses invalid values of known keys. */
 export function readMarks(sql: string): Result<MarkedStatement, Refusal> {
   const match = COMMENT.exec(sql);
   const body = match?.[1];
@@ -52,7 +52,7 @@
   return ok({ sql: sql.slice(0, match.index), marks });
 }
 
-/** Pairs of a comment body; undefined when it is ordinary prose and not of the published form. */
+/** Key-value pairs of a comment body; undefined if it is an ordinary comment rather than sqlcommenter format. */
 function readPairs(body: string): Record<string, string> | undefined {
   const texts: Record<string, string> = {};
   let offset = 0;
--- a/packages/protocol/src/sql/statement-kind.ts
+++ b/packages/protocol/src/sql/statement-kind.ts
@@ -1,11 +1,11 @@
 /**
- * Classifies SQL text by what it asks of the proxy, with the parser of `pgsql-ast-parser`. What the
- * parser does not understand counts as a write, which is always safe: it goes to the primary.
+ * Classifies SQL texts by what the proxy has to do for them, using `pgsql-ast-parser`. Texts that the parser does not
+ * accept are classified as writes, which is always safe, since writes go to the primary.
  */
 import type { Statement } from 'pgsql-ast-parser';
 import { astVisitor, parse } from 'pgsql-ast-parser';
 
-/** What a text asks for. */
+/** Kind of a statement. */
 export enum StatementKind {
   Empty = 'empty',
   Read = 'read',
@@ -17,11 +17,11 @@
   SetLocal = 'set-local',
   SetSession = 'set-session',
   Show = 'show',
-  /** Needs server state that can't follow a session between upstream connections. */
+  /** Needs server state that cannot follow a session from one upstream connection to another. */
   Unsupported = 'unsupported',
 }
 
-/** Functions that read nothing but their arguments and the snapshot; others may write. */
+/** Functions that only read their arguments and the snapshot; any other function may write. */
 const READ_FUNCTIONS: ReadonlySet<string> = new Set(
   (
     'abs age array_agg array_length avg bool_and bool_or ceil ceiling char_length coalesce concat ' +
@@ -44,27 +44,27 @@
   'UNLISTEN',
 ]);
 
-/** Statements that write whatever follows; parsing them would tell nothing more. */
+/** Statements that always write, so that there is no need to parse them. */
 const WRITING_KEYWORDS: ReadonlySet<string> = new Set(['DELETE', 'INSERT', 'MERGE', 'UPDATE']);
-/** A semicolon that something follows, perhaps inside a literal; then the parser decides. */
-const SEVERAL = /;\s*\S/;
-const LEADING = /^(?:\s|--[^\n]*(?:\n|$)|\/\*[\s\S]*?\*\/|;)*([A-Za-z]*)\s*([A-Za-z]*)/;
-const TEMPORARY = /^\s*CREATE\s+(?:LOCAL\s+|GLOBAL\s+)?TEMP(?:ORARY)?\s/i;
+/** A semicolon followed by more text, possibly within a literal; such texts are parsed. */
+const MULTIPLE_STATEMENTS = /;\s*\S/;
+const LEADING_KEYWORDS = /^(?:\s|--[^\n]*(?:\n|$)|\/\*[\s\S]*?\*\/|;)*([A-Za-z]*)\s*([A-Za-z]*)/;
+const CREATE_TEMPORARY = /^\s*CREATE\s+(?:LOCAL\s+|GLOBAL\s+)?TEMP(?:ORARY)?\s/i;
 const START_TRANSACTION = /START\s+TRANSACTION/i;
 const CACHE_ENTRIES = 4096;
 const MAX_CACHED_LENGTH = 4096;
 const cache = new Map<string, StatementKind>();
 
-/** Classifies a text; results of short texts are cached. */
+/** Classifies a text; results for short texts are cached. */
 export function classifyStatement(sql: string): StatementKind {
   const known = cache.get(sql);
   if (known !== undefined) return known;
   const kind = classify(sql);
-  if (sql.length <= MAX_CACHED_LENGTH) remember(sql, kind);
+  if (sql.length <= MAX_CACHED_LENGTH) cacheKind(sql, kind);
   return kind;
 }
 
-function remember(sql: string, kind: StatementKind): void {
+function cacheKind(sql: string, kind: StatementKind): void {
   if (cache.size >= CACHE_ENTRIES) {
     const oldest = cache.keys().next();
     if (oldest.done !== true) cache.delete(oldest.value);
@@ -73,10 +73,11 @@
 }
 
 function classify(sql: string): StatementKind {
-  const match = LEADING.exec(sql);
+  const match = LEADING_KEYWORDS.exec(sql);
   const first = (match?.[1] ?? '').toUpperCase();
   const second = (match?.[2] ?? '').toUpperCase();
-  if (UNSUPPORTED_KEYWORDS.has(first) || TEMPORARY.test(sql)) return StatementKind.Unsupported;
+  if (UNSUPPORTED_KEYWORDS.has(first) || CREATE_TEMPORARY.test(sql))
+    return StatementKind.Unsupported;
   if (match?.[0].length === sql.length && first === '') return StatementKind.Empty;
   if (first === 'SET') return classifySet(second);
   if (first === 'RESET') return StatementKind.SetSession;
@@ -84,7 +85,7 @@
   if (first === 'START') return classifyParsed(sql.replace(START_TRANSACTION, 'BEGIN'));
   if (first === 'END') return StatementKind.Commit;
   if (first === 'ABORT') return StatementKind.Rollback;
-  if (WRITING_KEYWORDS.has(first) && !SEVERAL.test(sql)) return StatementKind.Write;
+  if (WRITING_KEYWORDS.has(first) && !MULTIPLE_STATEMENTS.test(sql)) return StatementKind.Write;
   return classifyParsed(sql);
 }
 
@@ -136,19 +137,19 @@
 
 function isReadOnly(statement: Statement): boolean {
   let readOnly = true;
-  const veto = (): void => {
+  const markAsWriting = (): void => {
     readOnly = false;
   };
   const visitor = astVisitor((map) => ({
-    insert: veto,
-    update: veto,
-    delete: veto,
+    insert: markAsWriting,
+    update: markAsWriting,
+    delete: markAsWriting,
     call: (call) => {
-      if (!READ_FUNCTIONS.has(call.function.name.toLowerCase())) veto();
+      if (!READ_FUNCTIONS.has(call.function.name.toLowerCase())) markAsWriting();
       map.super().call(call);
     },
     selection: (selection) => {
-      if (selection.for !== undefined) veto();
+      if (selection.for !== undefined) markAsWriting();
       map.super().selection(selection);
     },
   }));
--- a/packages/protocol/src/time-limit.ts
+++ b/packages/protocol/src/time-limit.ts
@@ -1,43 +1,43 @@
 /**
- * Time limits of exchanges. A process that did not run for a while finds the limit over before it has read the answer
- * that arrived in time, and would report as silent whoever had answered.
+ * Timeouts of exchanges that tolerate pauses of this process. After a pause, a plain timer would fire before the
+ * process has read an answer that arrived in time, and a peer that did answer would be reported as silent.
  */
 
-/** Delay of its timer from which a process counts as having been paused, milliseconds. */
-const PAUSED_MS = 100;
-/** Time to read what arrived during a pause, milliseconds. */
+/** Timer delay above which the process is assumed to have been paused, milliseconds. */
+const PAUSE_THRESHOLD_MS = 100;
+/** Time for reading what arrived during a pause, milliseconds. */
 const CATCH_UP_MS = 100;
 
-/** A limit that runs out once what arrived within it has been read. */
+/** A timeout that fires only after everything that arrived within it has been read. */
 export class TimeLimit {
   private readonly dueAt: number;
   private timer: NodeJS.Timeout;
   private immediate: NodeJS.Immediate | undefined;
 
   /**
-   * @param ms the limit, milliseconds
-   * @param onOver called at most once, unless the limit is cleared before
+   * @param ms duration of the timeout, milliseconds
+   * @param onTimeout called once when the timeout expires, unless it is cleared before
    */
   constructor(
     ms: number,
-    private readonly onOver: () => void,
+    private readonly onTimeout: () => void,
   ) {
     this.dueAt = performance.now() + ms;
     this.timer = setTimeout(() => {
-      this.end();
+      this.expire();
     }, ms);
   }
 
-  /** Ends the limit without a call. */
+  /** Cancels the timeout. */
   clear(): void {
     clearTimeout(this.timer);
     clearImmediate(this.immediate);
   }
 
-  private end(): void {
-    const wasPaused = performance.now() - this.dueAt > PAUSED_MS;
-    // An immediate runs after the sockets that are readable now.
-    if (wasPaused) this.timer = setTimeout(this.onOver, CATCH_UP_MS);
-    else this.immediate = setImmediate(this.onOver);
+  private expire(): void {
+    const wasPaused = performance.now() - this.dueAt > PAUSE_THRESHOLD_MS;
+    // An immediate runs after the events of all sockets that are readable now.
+    if (wasPaused) this.timer = setTimeout(this.onTimeout, CATCH_UP_MS);
+    else this.immediate = setImmediate(this.onTimeout);
   }
 }
--- a/packages/protocol/tests/decoders.steps.ts
+++ b/packages/protocol/tests/decoders.steps.ts
@@ -21,12 +21,12 @@
   TokenCodec,
 } from '../src/index.js';
 
-type Probe = (bytes: Buffer) => unknown;
+type Decoder = (bytes: Buffer) => unknown;
 
 const KEY_BYTES = 32;
 const LIMIT = 4096;
 
-const PROBES: Readonly<Record<string, Probe>> = {
+const DECODERS: Readonly<Record<string, Decoder>> = {
   'the message splitter': (bytes) => new MessageSplitter(LIMIT, 'test').push(bytes),
   'the caller message decoder': (bytes) => decodeFrontend(bytes),
   'the frame decoder': (bytes) => new FrameDecoder('test', LIMIT).push(bytes),
@@ -41,9 +41,9 @@
 };
 
 Then(
-  /^(.+) takes (\d+) random inputs with seed (\d+) without a fault of its own$/,
+  /^(.+) handles (\d+) random inputs with seed (\d+) without throwing$/,
   (name: string, runs: string, seed: string) => {
-    const probe = PROBES[name];
+    const probe = DECODERS[name];
     assert.ok(probe !== undefined, name);
     const text = fc.string({ unit: 'binary', maxLength: 200 }).map((value) => Buffer.from(value));
     const bytes = fc.uint8Array({ maxLength: 200 }).map((value) => Buffer.from(value));
@@ -56,7 +56,7 @@
 );
 
 Then(
-  '{int} random frames in random chunks with seed {int} come out whole and in order',
+  '{int} random frames in random chunks with seed {int} are decoded completely and in order',
   (runs: number, seed: number) => {
     const frames = fc.array(anyFrame(), { minLength: 1, maxLength: 5 });
     const property = fc.property(frames, fc.integer({ min: 1, max: 50 }), (sent, size) => {
@@ -73,7 +73,7 @@
 );
 
 Then(
-  '{int} random floors with seed {int} are opened by their user and refused to another',
+  '{int} random floors with seed {int} are opened for their user and refused for another',
   (runs: number, seed: number) => {
     const property = fc.property(anyFloor(), fc.string(), (floor, user) => {
       const token = codec('k1').seal(user, floor);
--- a/packages/protocol/tests/store-documents.feature
+++ b/packages/protocol/tests/store-documents.feature
@@ -1,10 +1,10 @@
-Feature: Documents of the store on their way between hosts
+Feature: Compressed store documents between hosts
 
-  Scenario: Documents arrive as they were packed
+  Scenario: Documents are unpacked as packed
     When documents with a value of 300000 characters are packed and unpacked
-    Then they are the same, and took less than 20000 bytes on the way
+    Then they are the same, and took less than 20000 bytes packed
 
-  Scenario Outline: What can't be unpacked is an error that names the sender
+  Scenario Outline: An unpacking error names the sender
     When "<bytes>" are unpacked from "h7"
     Then that fails at "h7" with "<error>"
 
--- a/packages/protocol/tests/store-documents.steps.ts
+++ b/packages/protocol/tests/store-documents.steps.ts
@@ -39,7 +39,7 @@
 );
 
 Then(
-  'they are the same, and took less than {int} bytes on the way',
+  'they are the same, and took less than {int} bytes packed',
   function (this: DocumentsWorld, bytes: number) {
     assert.deepEqual(this.unpacked._unsafeUnwrap(), this.documents);
     assert.ok(this.size < bytes, `${this.size} bytes`);
--- a/packages/protocol/tests/texts.feature
+++ b/packages/protocol/tests/texts.feature
@@ -1,6 +1,6 @@
-Feature: Statements, marks, settings and bundles are read as written, faults named all at once
+Feature: Parsing of statements, marks, settings and bundles
 
-  Scenario Outline: What a statement asks for
+  Scenario Outline: Statement classification
     Then "<sql>" is classified as "<kind>"
 
     Examples:
@@ -44,7 +44,7 @@
       | priority='urgent'                                   | refused bad-marks                  |
       | request_id=''                                       | refused bad-marks                  |
 
-  Scenario: Settings faults are all told at once, each with its place
+  Scenario: All faults of the settings are reported at once, each with its location
     When these settings are read:
       """
       [host]
@@ -68,7 +68,7 @@
       | [caller] tls_cert_file | missing |
       | [weather]          | weather   |
 
-  Scenario Outline: A bundle that would hurt is refused
+  Scenario Outline: An invalid bundle is refused
     When a bundle with "<change>" is read
     Then it is refused at "<place>"
 
@@ -82,7 +82,7 @@
       | threshold above operators       | [bundle] threshold              |
       | a port out of range             | [upstream.g.u1] port            |
 
-  Scenario: A change of one group changes one part beside the head
+  Scenario: A change of one group changes one part and the head
     Given a bundle of 400 groups over 6 zones
     When one group changes
     Then 2 parts differ, and the parts join to the same bundle
--- a/packages/protocol/tests/time-limit.steps.ts
+++ b/packages/protocol/tests/time-limit.steps.ts
@@ -14,7 +14,7 @@
   over: number;
 }
 
-/** Answers the first message at once, and sets a flag when the answer is on its way. */
+/** Answers the first message immediately and sets a flag once the answer is sent. */
 const ANSWERING = `
   const { parentPort, workerData } = require('node:worker_threads');
   parentPort.once('message', () => {
@@ -23,7 +23,7 @@
     Atomics.notify(workerData, 0);
   });
 `;
-/** Longer than any limit and the time to read after a pause, milliseconds. */
+/** Longer than any limit plus the time for reading after a pause, milliseconds. */
 const AFTERWARDS_MS = 200;
 
 Given('a limit of {int} ms for a message', async function (this: LimitWorld, ms: number) {
@@ -46,7 +46,7 @@
   await this.worker?.terminate();
 });
 
-/** Blocks this thread until `ms` after the limit, in a timer, so that other timers that are due come next. */
+/** Blocks this thread until `ms` after the limit, from within a timer, so that other due timers run next. */
 async function blockBeyond(world: LimitWorld, ms: number, before: () => void): Promise<void> {
   await new Promise<void>((resolve) => {
     setTimeout(() => {
@@ -74,12 +74,12 @@
   },
 );
 
-Then('the message is read, and the limit does not run out', async function (this: LimitWorld) {
+Then('the message is read, and the limit does not expire', async function (this: LimitWorld) {
   await pause(AFTERWARDS_MS);
   assert.deepEqual([this.read, this.over], [1, 0]);
 });
 
-Then('the limit runs out once', async function (this: LimitWorld) {
+Then('the limit expires once', async function (this: LimitWorld) {
   await pause(AFTERWARDS_MS);
   assert.deepEqual([this.read, this.over], [0, 1]);
 });
