--- a/packages/pool/src/connection-pool.ts
+++ b/packages/pool/src/connection-pool.ts
@@ -243,7 +243,7 @@
     waiter.settle(ok(this.createLease(bound, now)));
   }
 
-  /** The next waiter with enough time left to run. Refuses those before it while it is certain that they have not run. */
+  /** The next waiter with enough time left. Refuses those before it while it is certain that they have not run. */
   private nextWaiterInTime(owner: Owner, now: number): Waiter<C> | undefined {
     for (;;) {
       const waiter = this.waiting.takeNext(owner, now, this.mayReplace());
