--- a/packages/gateway/src/control/store/board-publisher.ts
+++ b/packages/gateway/src/control/store/board-publisher.ts
@@ -1,5 +1,5 @@
 /**
- * Puts on the board what follows from the documents held.
+ * Derives the sections of the board from the cached documents of the metadata store.
  */
 import { isDeepStrictEqual } from 'node:util';
 import type {
@@ -19,23 +19,23 @@
 import { ExpiredUpstreams } from './expired-upstreams.js';
 import { groupOfKey, hostKey, hostOfKey } from './store-documents.js';
 
-/** What the present era of the store leaves in doubt. */
+/** What the publisher has to know about the current era of the store. */
 export interface EraState {
-  /** Whether a key is held that the present era does not have. */
+  /** Whether a key is cached that the current era of the store does not contain. */
   isMissing(key: string): boolean;
-  /** Version of the oldest configuration that a host may begin with, which found one at `position`. */
+  /** Lowest configuration version that a starting host may put in force when it has read one at `position`. */
   minimumCatalogVersion(position: StorePosition): number;
 }
 
-/** Publisher of one host. */
+/** Publishes the documents of the store to the board of one host. */
 export class BoardPublisher {
   private readonly lapsed: ExpiredUpstreams;
-  /** Evacuated zones, with the latest local time at which they were surely in use. */
+  /** Evacuated zones, with the latest local time at which each was certainly not yet evacuated. */
   private readonly lastInUseAt = new Map<AzId, number>();
-  /** A configuration that is too old to be put in force; undefined while there is none. */
+  /** A configuration that was not put in force because it is too old; undefined while there is none. */
   private catalogTooOld:
     { readonly catalog: Catalog; readonly position: StorePosition } | undefined;
-  /** Sections of the board that no longer show what is held. */
+  /** Sections of the board that no longer match the cached documents. */
   private readonly outdated = new Set<BoardSection>();
 
   constructor(
@@ -48,7 +48,7 @@
     this.lapsed = new ExpiredUpstreams(lapse, log);
   }
 
-  /** Takes a document that was written in place of `former`. */
+  /** Applies a document that replaces `former`. */
   applyDocument(
     document: StoreDocument,
     former: CachedDocument | undefined,
@@ -81,12 +81,12 @@
     }
   }
 
-  /** Entry of an upstream that has vanished a while ago; undefined when none has. */
+  /** The last entry of an upstream whose entry has disappeared; undefined when there is none. */
   lapsedEntry(id: UpstreamId): UpstreamEntry | undefined {
     return this.lapsed.entry(id);
   }
 
-  /** Notes that a document was removed at `position`. */
+  /** Applies the removal of a document at `position`. */
   applyRemoval(document: CachedDocument, position: StorePosition, now: number): void {
     const section = SECTIONS.get(document.kind);
     if (section !== undefined) this.outdated.add(section);
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Notes that the newest version of a key can't be read. A configuration stays in force as it was; an upstream
-   * counts as one whose entry has vanished; a host stays listed; nobody uses a primary that is in doubt.
+   * Handles a newest version of a key that can't be parsed. The configuration in force stays; an upstream is treated
+   * as if its entry had been removed; a host stays listed; a primary is no longer used, since its record is unknown.
    */
   applyUnreadable(
     key: string,
@@ -110,36 +110,36 @@
     if (group !== undefined) this.doubtRecord(group, position);
   }
 
-  /** Notes that a version of a key that could not be read was removed, or replaced by one that can. */
+  /** Notes that an unreadable version of a key was removed or replaced by a readable one. */
   clearUnreadable(key: string): void {
     if (hostOfKey(key) !== undefined) this.outdated.add(BoardSection.Hosts);
   }
 
-  /** Whether the configuration that the store shows is older than one that other hosts knew, and none is in force. */
+  /** Whether no configuration is in force because the one in the store is older than one that other hosts knew. */
   get awaitsCatalog(): boolean {
     return this.catalogTooOld !== undefined;
   }
 
-  /** Puts a configuration in force that was too old, if it is not any more. */
+  /** Puts the configuration that was too old in force if the minimum version now permits it. */
   retryCatalog(): void {
     if (this.catalogTooOld === undefined) return;
     const { catalog, position } = this.catalogTooOld;
     this.takeCatalog(catalog, position);
   }
 
-  /** Notes that the store has lost this host's own entry. */
+  /** Marks the hosts section as outdated because the store has lost this host's own entry. */
   markOwnEntryLost(): void {
     this.outdated.add(BoardSection.Hosts);
   }
 
-  /** Looks at the upstreams whose entries are missing; `current` while the documents are the store's. */
+  /** Advances the expiry of upstreams whose entries are missing; `current` while the cache matches the store. */
   updateExpiredUpstreams(current: boolean, now: number): void {
     if (this.lapsed.updateStages(current, now)) this.outdated.add(BoardSection.Upstreams);
   }
 
   /**
-   * Puts upstreams, hosts and evacuations on the board where they have changed: every listener of a section works
-   * out anew what follows from all of its entries, such as the homes of each group.
+   * Publishes upstreams, hosts and evacuations that have changed. Unchanged sections are left alone, since every
+   * listener of a section recomputes what it derives from all entries, such as the homes of each group.
    */
   publish(): void {
     if (this.outdated.has(BoardSection.Upstreams)) this.board.putUpstreams(this.upstreams());
@@ -153,9 +153,9 @@
     this.outdated.clear();
   }
 
-  /** A catalog that names other groups than the one before can change which upstreams are used. */
+  /** Upstreams are published again where the catalog adds or removes groups, since that changes which are used. */
   private takeCatalog(catalog: Catalog, position: StorePosition): void {
-    // Callers of the other hosts are served by a newer one, so a key or route of this one may be gone there.
+    // Other hosts already serve callers by a newer one, which may have dropped a key or route of this one.
     const oldest = this.era.minimumCatalogVersion(position);
     if (this.board.catalog === undefined && catalog.version < oldest) {
       this.catalogTooOld = { catalog, position };
@@ -187,8 +187,8 @@
   }
 
   /**
-   * Notes an evacuation. The request may be as old as the documents held until now: a host that starts, or
-   * that has not heard of the store for long, must not take it for new.
+   * Starts an evacuation. The request may have been written at any time since this host last had current documents,
+   * so a host that starts, or was long without the store, must not assume that it has just been made.
    */
   private evacuate(az: AzId, position: StorePosition, now: number): void {
     if (this.lastInUseAt.has(az)) return;
@@ -206,7 +206,7 @@
     this.log.info('evacuation-ended', { az, position: formatStorePosition(position) });
   }
 
-  /** Notes which section of the board a document changes; one that was only written again changes none. */
+  /** Marks the section of the board that a document changes; rewriting the same entry changes none. */
   private noteChange(
     former: CachedDocument | undefined,
     document: StoreDocument,
@@ -214,7 +214,7 @@
   ): void {
     const section = SECTIONS.get(document.kind);
     if (section === undefined) return;
-    // A host that lists itself again in a new era writes the same entry, and is listed only then.
+    // A host that registers again in a new era writes the same entry, and counts as listed only from then on.
     const isOfEra = former?.item.position.era === era;
     if (isOfEra && sameEntry(former, document)) return;
     this.outdated.add(section);
@@ -237,28 +237,28 @@
     for (const document of this.documents.all) {
       if (document.kind === 'host') hosts.set(document.entry.host, document.entry);
     }
-    // A host whose own entry can't be read, or was lost, has to write it again, as one that is not listed.
+    // If this host's own entry is unreadable or lost, it is left out, so that the registrar writes it again.
     const ownKey = hostKey(this.board.host);
     const isListed = !this.documents.isUnreadable(ownKey) && !this.era.isMissing(ownKey);
     if (!isListed) hosts.delete(this.board.host);
     return hosts;
   }
 
-  /** Hosts that are listed by an entry that can't be read, and of which this host knows no former one. */
+  /** Hosts whose entry can't be read and of which no earlier readable entry is known. */
   private unknownHosts(known: ReadonlyMap<HostId, HostEntry>): ReadonlySet<HostId> {
     const listed = this.documents.unreadableKeys.map(hostOfKey);
     return new Set(listed.filter((host) => host !== undefined).filter((host) => !known.has(host)));
   }
 }
 
-/** Sections of the board that are made of the documents of one kind. */
+/** Sections of the board that are derived from documents of one kind. */
 const SECTIONS: ReadonlyMap<StoreDocument['kind'], BoardSection> = new Map([
   ['host', BoardSection.Hosts],
   ['upstream', BoardSection.Upstreams],
   ['evacuation', BoardSection.Evacuations],
 ]);
 
-/** Whether two documents of one key hold the same entry of a host or an upstream. */
+/** Whether two documents of one key contain the same host or upstream entry. */
 function sameEntry(a: StoreDocument, b: StoreDocument): boolean {
   if (a.kind === 'host' && b.kind === 'host') return isDeepStrictEqual(a.entry, b.entry);
   if (a.kind === 'upstream' && b.kind === 'upstream') return isDeepStrictEqual(a.entry, b.entry);
--- a/packages/gateway/src/control/store/current-era.ts
+++ b/packages/gateway/src/control/store/current-era.ts
@@ -1,21 +1,21 @@
 /**
- * The present era of the store, as one host has come to know it.
+ * State of the store's current era, as known to one host.
  */
 import type { HostId, StorePosition } from '@gladespool/coordination';
 import { formatStorePosition } from '@gladespool/coordination';
 import type { HostMetrics, Logger } from '@gladespool/observability';
 import type { GatewayBoard } from '../../knowledge/board.js';
 
-/** Incarnation that no process has, for hosts whose entries can't be read. */
+/** Incarnation that no process has; stands for hosts whose entries can't be read. */
 const UNKNOWN_INCARNATION = -1;
 
-/** Era of one host's view. */
+/** Current era of one host's view. */
 export class CurrentEra {
-  /** Local time since which the gateway's own documents held are those of the era. */
+  /** Local time since which the cached documents of the gateway are those of the era. */
   since: number;
-  /** Hosts, with their incarnations, that may know what the era has lost of the gateway's documents. */
+  /** Hosts, with their incarnations, that may know gateway documents that the era has lost. */
   formerHosts: ReadonlyMap<HostId, number> = new Map();
-  /** Whether the first documents of the era are being taken. */
+  /** Whether the first documents of the era are still being applied. */
   private isBeginning = false;
 
   constructor(
@@ -27,7 +27,7 @@
     this.since = startedAt;
   }
 
-  /** Notes that `era` follows that of `former`, before any document of it is taken. */
+  /** Starts `era`, which follows that of position `former`; called before any document of it is applied. */
   begin(era: number, former: StorePosition, now: number): void {
     this.since = now;
     this.isBeginning = true;
@@ -37,14 +37,14 @@
     this.metrics.storeRestores.inc();
   }
 
-  /** Notes that the gateway's own documents of the era were taken: hosts that it lists may know more as well. */
+  /** Ends the initial load of the era, and adds the hosts that it lists: they may know lost documents as well. */
   markLoaded(): void {
     if (!this.isBeginning) return;
     this.isBeginning = false;
     this.formerHosts = new Map([...this.listedProcesses(), ...this.formerHosts]);
   }
 
-  /** The listed hosts with their incarnations; those whose entries can't be read tell none. */
+  /** The listed hosts with their incarnations, which are unknown for unreadable entries. */
   private listedProcesses(): ReadonlyMap<HostId, number> {
     const { hosts, unreadableHosts: unknownHosts } = this.board;
     const unknown = [...unknownHosts].map((host) => [host, UNKNOWN_INCARNATION] as const);
--- a/packages/gateway/src/control/store/document-cache.ts
+++ b/packages/gateway/src/control/store/document-cache.ts
@@ -1,5 +1,5 @@
 /**
- * The documents of the store that a host holds, by key, and since which change.
+ * Local cache of the store's documents, by key, with the position of each latest change.
  */
 import type { StorePosition } from '@gladespool/coordination';
 import { isLater, laterOf, STORE_START } from '@gladespool/coordination';
@@ -9,13 +9,13 @@
 import type { OwnDocument } from './store-documents.js';
 import { hostKey, OWN_PREFIX } from './store-documents.js';
 
-/** A document as it was decoded, be it the gateway's own or another's. */
+/** A decoded document, written by the gateway or by others. */
 export type StoreDocument = OwnDocument | ForeignDocument;
 
-/** A document with the key's version that it was read from. */
+/** A document with the version of the key from which it was decoded. */
 export type CachedDocument = StoreDocument & { readonly item: StoreItem };
 
-/** A record of a primary that is held. */
+/** A cached record of a primary. */
 export type CachedRecord = Extract<CachedDocument, { readonly kind: 'primary' }>;
 
 /** Whether a document is the record of a primary. */
@@ -23,41 +23,41 @@
   return document.kind === 'primary';
 }
 
-/** Longest unreadable text that is kept, characters; a longer one is kept and passed on as an empty one. */
+/** Longest unreadable text that is kept, characters; longer texts are stored and passed on as empty ones. */
 const MAX_KEPT_CHARS = 4096;
 
-/** Documents by key, with the latest positions heard of. */
+/** Documents by key, with the latest known positions. */
 export class DocumentCache {
-  /** Position of the latest change that this host has heard of. */
+  /** Position of the latest change that this host knows of. */
   newest = STORE_START;
   /** Position of the latest change of one of the gateway's own documents. */
   ownNewest = STORE_START;
-  /** Position of the latest change of a document that is none of the gateway's own. */
+  /** Position of the latest change of a document that was not written by the gateway. */
   foreignNewest = STORE_START;
-  /** Eras of the records of primaries. */
+  /** Number of records of primaries by era. */
   readonly recordEras = new EraCounts();
-  /** Eras of all readable documents. */
+  /** Number of all readable documents by era. */
   readonly eras = new EraCounts();
   private readonly held = new Map<string, CachedDocument>();
-  /** Newest versions that can't be read; the last readable one stays in `held`, except an upstream's. */
+  /** Newest versions that can't be decoded; the last readable one stays cached, except an upstream's. */
   private readonly unreadable = new Map<string, StoreItem>();
 
-  /** All documents held. */
+  /** All readable documents. */
   get all(): readonly CachedDocument[] {
     return [...this.held.values()];
   }
 
-  /** The items of all documents held, and those that can't be read. */
+  /** The items of all documents, including those that can't be decoded. */
   get items(): readonly StoreItem[] {
     return [...this.all.map((held) => held.item), ...this.unreadable.values()];
   }
 
-  /** Keys that are there, readable or not. */
+  /** All keys, readable or not. */
   get keys(): readonly string[] {
     return [...new Set([...this.held.keys(), ...this.unreadable.keys()])];
   }
 
-  /** Keys whose newest version can't be read. */
+  /** Keys whose newest version can't be decoded. */
   get unreadableKeys(): readonly string[] {
     return [...this.unreadable.keys()];
   }
@@ -66,31 +66,31 @@
     return this.held.get(key);
   }
 
-  /** Holds a document in place of the key's former one. */
+  /** Stores a document, replacing the previous one of the key. */
   put(document: StoreDocument, item: StoreItem): void {
     this.exchange(item.key, { ...document, item });
     this.unreadable.delete(item.key);
     this.notePosition(item.key, item.position);
   }
 
-  /** Notes that the newest version of a key can't be read. */
+  /** Records that the newest version of a key can't be decoded. */
   putUnreadable(item: StoreItem): void {
     const value = item.value.length > MAX_KEPT_CHARS ? '' : item.value;
     this.unreadable.set(item.key, { ...item, value });
     this.notePosition(item.key, item.position);
   }
 
-  /** Whether the newest version of a key can't be read. */
+  /** Whether the newest version of a key can't be decoded. */
   isUnreadable(key: string): boolean {
     return this.unreadable.has(key);
   }
 
-  /** Stops to hold a key's document, whose newest version can't be read. */
+  /** Drops the last readable document of a key but keeps its unreadable version. */
   discard(key: string): void {
     this.exchange(key, undefined);
   }
 
-  /** Drops a key that was removed at `position`; returns what was held of it. */
+  /** Removes a key that was deleted at `position`; returns its cached document. */
   remove(key: string, position: StorePosition): CachedDocument | undefined {
     const held = this.held.get(key);
     this.exchange(key, undefined);
@@ -99,14 +99,14 @@
     return held;
   }
 
-  /** Position of a key's latest change, be it readable or not; undefined when it is not there. */
+  /** Position of a key's latest version, readable or not; undefined if the key is not cached. */
   positionOf(key: string): StorePosition | undefined {
     return (this.unreadable.get(key) ?? this.held.get(key)?.item)?.position;
   }
 
   /**
-   * Whether a host was listed with this incarnation at `position` of the store, and still is. An entry of another
-   * era is not in the store: whoever reads the list there does not see it.
+   * Whether a host was listed with this incarnation at `position` of the store, and still is. An entry of another era
+   * does not count, because readers of the store do not see it.
    */
   wasListed(host: string, incarnation: number, position: StorePosition): boolean {
     const held = this.held.get(hostKey(host));
@@ -115,7 +115,7 @@
     return listedAt.era === position.era && !isLater(listedAt, position);
   }
 
-  /** Notes that everything up to `position` was read. */
+  /** Records that everything up to `position` was read. */
   markCompleteUpTo(position: StorePosition): void {
     this.foreignNewest = laterOf(this.foreignNewest, position);
   }
--- a/packages/gateway/src/control/store/document-exchange.ts
+++ b/packages/gateway/src/control/store/document-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * Passes documents of the store on to other hosts, and fetches what this host lacks of them: one fetch at
- * a time, with time enough for a long configuration on a slow link.
+ * Serves documents of the store to other hosts and fetches missing ones from them. Only one fetch runs at a time, and
+ * its timeout allows for a large configuration on a slow link.
  */
 import type { StorePosition } from '@gladespool/coordination';
 import { isSamePosition, formatStorePosition } from '@gladespool/coordination';
@@ -11,36 +11,36 @@
 import type { PeerCalls } from '../../peering/peer-calls.js';
 import type { StoreView } from './store-view.js';
 
-/** What the exchange works on. */
+/** Dependencies of the exchange. */
 export interface DocumentExchangeOptions {
   readonly view: StoreView;
   readonly calls: PeerCalls;
   readonly log: Logger;
 }
 
-/** Longest time for one fetch, milliseconds: a megabyte at 7 Mbit/s takes 1.2 s, and others fetch as well. */
+/** Timeout of one fetch, milliseconds: a megabyte at 7 Mbit/s takes 1.2 s, and other hosts fetch at the same time. */
 const FETCH_TIMEOUT_MS = 2500;
 
-/** A reply that may serve several hosts. */
+/** An encoded reply that can be sent to several hosts. */
 interface PackedReply {
-  /** Position up to which the asker was complete. */
+  /** Position up to which the requesting host was complete. */
   readonly since: StorePosition;
-  /** Position up to which it is complete with this. */
+  /** Position up to which it is complete after it has applied this reply. */
   readonly upTo: StorePosition;
-  /** Whether these are all documents; else what changed since. */
+  /** Whether the reply contains all documents; otherwise only the changes since `since`. */
   readonly complete: boolean;
   readonly packed: Uint8Array;
 }
 
-/** Exchange of one host. */
+/** Document exchange of one host. */
 export class DocumentExchange implements PeerHandler {
   private fetching = false;
-  /** The latest reply: the hosts of a zone mostly ask for the same. */
+  /** The last reply, cached because the hosts of a zone mostly request the same changes. */
   private latest: PackedReply | undefined;
 
   constructor(private readonly options: DocumentExchangeOptions) {}
 
-  /** Fetches what `peer` has and a host lacks that is complete up to `since`, unless a fetch is under way. */
+  /** Fetches from `peer` what changed after `since`, unless a fetch is already running. */
   async fetch(peer: PeerAddress, since = this.options.view.position): Promise<void> {
     if (this.fetching) return;
     this.fetching = true;
@@ -56,7 +56,7 @@
   }
 
   onLost(): void {
-    // A lost link is a fetch without an answer; the next one goes to whoever has something newer.
+    // The pending fetch fails by itself; the next one goes to any host that reports a newer position.
   }
 
   private async fetchOnce(peer: PeerAddress, position: StorePosition): Promise<void> {
--- a/packages/gateway/src/control/store/document-order.ts
+++ b/packages/gateway/src/control/store/document-order.ts
@@ -1,6 +1,6 @@
 /**
- * Which of two versions of a document is the older one, where they are of different eras of the store and their
- * positions say nothing about it.
+ * Compares two versions of a document by their content, for versions of different eras of the store, whose positions
+ * can't be compared.
  */
 import { isDeepStrictEqual } from 'node:util';
 import { recordRank } from '@gladespool/coordination';
@@ -11,7 +11,7 @@
   { readonly kind: Kind }
 >;
 
-/** Whether `document` is surely or possibly older than `known`, by what their writers have put into them. */
+/** Whether `document` is, or may be, older than `known`, judged by versions and counters in their content. */
 export function isOlderDocument(document: StoreDocument, known: StoreDocument): boolean {
   if (document.kind === 'catalog' && known.kind === 'catalog') {
     return document.catalog.version < known.catalog.version;
@@ -35,7 +35,10 @@
   return duty.renewal < known.duty.renewal;
 }
 
-/** Entries of two births have no order, nor have those that count no writes; either may be the older one. */
+/**
+ * Entries with different start times can't be ordered, nor can different entries without a write sequence; the given
+ * one then counts as possibly older.
+ */
 function isOlderUpstream(
   { entry, sequence }: DocumentOf<'upstream'>,
   known: DocumentOf<'upstream'>,
--- a/packages/gateway/src/control/store/document-read-result.ts
+++ b/packages/gateway/src/control/store/document-read-result.ts
@@ -1,5 +1,5 @@
 /**
- * What comes of reading one key of the metadata store.
+ * Result of reading one key of the metadata store.
  */
 import { DocumentVerdict } from '@gladespool/observability';
 import type { Result } from 'neverthrow';
@@ -9,33 +9,33 @@
   readonly verdict: DocumentVerdict.Unrelated;
 }
 
-/** A document of a known kind that can't be used. */
+/** A document of a known kind that can't be decoded. */
 export interface UnreadableDocument {
   readonly verdict: DocumentVerdict.Unreadable;
-  /** Path of the first field that is wrong and why; values are not told. */
+  /** Path of the first invalid field and the reason, without the value. */
   readonly place: string;
 }
 
-/** Outcome of reading a key. */
+/** Result of reading a key. */
 export type DocumentReadResult<Document> =
   | { readonly verdict: DocumentVerdict.Used; readonly document: Document }
   | UnrelatedKey
   | UnreadableDocument;
 
-/** Outcome for a key of no known kind. */
+/** Result for a key of no known kind. */
 export const UNRELATED_KEY: UnrelatedKey = { verdict: DocumentVerdict.Unrelated };
 
-/** Outcome for a document that was decoded. */
+/** Result for a document that was decoded. */
 export function usedDocument<Document>(document: Document): DocumentReadResult<Document> {
   return { verdict: DocumentVerdict.Used, document };
 }
 
-/** Outcome for a document that is wrong at `place`. */
+/** Result for a document that is invalid at `place`. */
 export function unreadableDocument(place: string): UnreadableDocument {
   return { verdict: DocumentVerdict.Unreadable, place };
 }
 
-/** Outcome of decoding a document; an error names the place in it. */
+/** Converts a decoding result, whose error names the invalid place in the document. */
 export function toReadResult<Document>(
   decoded: Result<Document, string>,
 ): DocumentReadResult<Document> {
--- a/packages/gateway/src/control/store/document-reader.ts
+++ b/packages/gateway/src/control/store/document-reader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads what the metadata store holds, counts what became of it, and tells of documents that can't be used.
+ * Decodes the documents of the metadata store, counts the outcomes, and logs documents that can't be used.
  */
 import { formatStorePosition } from '@gladespool/coordination';
 import type { HostMetrics, Logger } from '@gladespool/observability';
@@ -11,10 +11,10 @@
 import type { StoreItem } from './metadata-store.js';
 import { OWN_PREFIX, readOwnDocument } from './store-documents.js';
 
-/** Characters of a key or place in a log line at most: others choose the names of keys. */
+/** Maximum characters of a key or place in a log line; keys are chosen by other writers and can be of any length. */
 const MAX_TOLD_CHARS = 200;
 
-/** Reader of one host. */
+/** Document reader of one host. */
 export class DocumentReader {
   constructor(
     private readonly board: GatewayBoard,
@@ -23,7 +23,7 @@
     private readonly log: Logger,
   ) {}
 
-  /** Reads a version of a key that this host has not read before. */
+  /** Reads a version of a key that this host has not read before; each call is counted and may be logged. */
   read(item: StoreItem): DocumentReadResult<StoreDocument> {
     const reading = this.decode(item);
     const verdict = this.verdictOf(reading);
--- a/packages/gateway/src/control/store/era-counts.ts
+++ b/packages/gateway/src/control/store/era-counts.ts
@@ -1,18 +1,18 @@
 /**
- * How many of a set of documents are of which era of the store.
+ * Number of documents by the era of the store that they come from.
  */
 
-/** Counts by era; mostly there is one. */
+/** Document counts by era; mostly there is only one era. */
 export class EraCounts {
   private readonly counts = new Map<number, number>();
 
-  /** Notes that a document of `former` was replaced by one of `next`; undefined stands for none. */
+  /** Counts the replacement of a document of era `former` by one of era `next`; undefined stands for no document. */
   replace(former: number | undefined, next: number | undefined): void {
     if (former !== undefined) this.change(former, -1);
     if (next !== undefined) this.change(next, 1);
   }
 
-  /** Whether any document is of an era before `era`. */
+  /** Whether any document comes from an era before `era`. */
   hasBefore(era: number): boolean {
     return [...this.counts.keys()].some((counted) => counted < era);
   }
--- a/packages/gateway/src/control/store/era-opener.ts
+++ b/packages/gateway/src/control/store/era-opener.ts
@@ -1,6 +1,6 @@
 /**
- * Opens a new era of the store, which has come back from a copy: gathers from the other hosts what the gateway had
- * written and the copy lacks, writes it back, and marks the era as one whose documents can be relied on.
+ * Opens a new era of the store after it was restored from an older copy: collects from the other hosts the gateway's
+ * own documents that the copy lacks, writes them back, and marks the era as one whose documents are complete.
  */
 import type { AuthorityRules, PreviousEraHosts, StorePosition } from '@gladespool/coordination';
 import { claimedRecord, mayOpenEra, initialFence, UNKNOWN_HOST } from '@gladespool/coordination';
@@ -14,7 +14,7 @@
 import { PROMOTION_LEASE_KEY, eraKey } from './store-documents.js';
 import type { StoreView } from './store-view.js';
 
-/** What the opener works on. */
+/** Dependencies of the opener. */
 export interface EraOpenerOptions {
   readonly self: HostEntry;
   readonly board: GatewayBoard;
@@ -23,7 +23,7 @@
   readonly order: RelayOrder;
   readonly round: HostRound;
   readonly authority: AuthorityRules;
-  /** Reads the gateway's own documents anew. */
+  /** Reads the gateway's own documents again. */
   readonly reloadOwnDocuments: () => Promise<unknown>;
   readonly metrics: HostMetrics;
   readonly log: Logger;
@@ -31,27 +31,27 @@
 
 type Write = StoreChange['writes'][number];
 
-/** Longest time for the other hosts' answers, milliseconds. */
+/** Timeout for the replies of the other hosts, milliseconds. */
 const ASK_TIMEOUT_MS = 700;
-/** Longest time for one change, milliseconds. */
+/** Timeout of one change of the store, milliseconds. */
 const WRITE_TIMEOUT_MS = 1500;
-/** Time between two tries, milliseconds. */
+/** Delay after a failed attempt, milliseconds. */
 const RETRY_MS = 250;
-/** Added for each zone and each host before this one in the order in which hosts read the store, milliseconds. */
+/** Delay for each zone and each host that precedes this one in the relay order, milliseconds. */
 const PLACE_STEP_MS = 300;
-/** Documents in one change, the marker besides: each stands in it twice, and the platform's store takes 32 entries. */
+/** Documents in one change besides the marker: each takes two entries, and the platform's store accepts 32 a change. */
 const MAX_WRITES = 12;
-/** Markers that are kept: a change that is made late asks for the one after its era. */
+/** Era markers that are kept: a delayed change checks for the marker of the era after its own. */
 const KEPT_MARKERS = 4;
 
-/** Opener of one host. */
+/** Era opener of one host. */
 export class EraOpener {
   private busy = false;
   private notBefore = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: EraOpenerOptions) {}
 
-  /** Opens the present era, or writes back what an opened one lacks, if that is due at `now`. */
+  /** Opens the current era, or writes back records that an opened one lacks, if that is due at `now`. */
   tick(now: number): void {
     const { board, view, order } = this.options;
     if (this.busy || view.isEraSettled || board.draining || now < this.notBefore) return;
@@ -71,7 +71,7 @@
   private async open(now: number): Promise<boolean> {
     const { view, authority, log } = this.options;
     const { era } = view.ownPosition;
-    // Nobody has to be asked before the earliest time for the answers to count.
+    // Requests are pointless while the era could not be opened even if every host replied.
     const earliest = {
       listed: view.currentEra.formerHosts.size,
       answered: view.currentEra.formerHosts.size,
@@ -91,7 +91,7 @@
     return isDone;
   }
 
-  /** Asks the hosts that were listed in the era before for what they know, and takes it over. */
+  /** Requests the documents of all hosts that were listed in the previous era, and applies them. */
   private async askFormer(): Promise<PreviousEraHosts> {
     const { self, board, view, round } = this.options;
     const { formerHosts } = view.currentEra;
@@ -110,7 +110,10 @@
     return { listed: formerHosts.size, answered, replaced: replaced.length };
   }
 
-  /** The duty as the era begins with it, where the newest one known can't be left as the store has it. */
+  /**
+   * The write of the promotion lease for the new era; none if the store already has the newest known lease and no
+   * higher fence is needed.
+   */
   private dutyFor(former: PreviousEraHosts): readonly Write[] {
     const { view } = this.options;
     const known = view.duty?.duty;
@@ -122,7 +125,7 @@
     return [{ key: PROMOTION_LEASE_KEY, value: JSON.stringify(isHeard ? known : unheard) }];
   }
 
-  /** Writes documents back, the marker of the era with the last ones. */
+  /** Writes documents back, with the marker of the era in the last change. */
   private async writeBack(documents: readonly Write[], era: number): Promise<boolean> {
     const { board, view } = this.options;
     let rest = documents;
@@ -136,8 +139,8 @@
   }
 
   /**
-   * Writes records back that an opened era lacks, since nobody who was asked knew them, as claims: other hosts may
-   * use the primaries that the store names until they have given them up.
+   * Writes back records that an opened era lacks because no host that replied knew them. They are written as claims,
+   * since other hosts may use the primaries that the store names until they have acknowledged the claim.
    */
   private async writeBackClaims(): Promise<boolean> {
     const { self, view } = this.options;
--- a/packages/gateway/src/control/store/expired-upstreams.ts
+++ b/packages/gateway/src/control/store/expired-upstreams.ts
@@ -1,21 +1,21 @@
 /**
- * Upstreams whose entries have vanished from the store, and what they count as meanwhile.
+ * Upstreams whose entries have disappeared from the store, and their expiry in stages.
  */
 import type { ExpiryRules, UpstreamId } from '@gladespool/coordination';
 import { ExpiryStage, expiryStage } from '@gladespool/coordination';
 import type { Logger } from '@gladespool/observability';
 import type { UpstreamEntry } from '../../model/catalog.js';
 
-/** One vanished entry. */
+/** An upstream whose entry has disappeared. */
 interface Lapse {
   readonly entry: UpstreamEntry;
-  /** Local time from which the entry counts as missing. */
+  /** Local time from which the missing time is counted. */
   since: number;
-  /** What the upstream counted as at the latest review. */
+  /** Stage at the last update. */
   stage: ExpiryStage;
 }
 
-/** The vanished entries that one host knows of. */
+/** The upstreams without an entry that one host knows of. */
 export class ExpiredUpstreams {
   private readonly lapses = new Map<UpstreamId, Lapse>();
 
@@ -24,34 +24,34 @@
     private readonly log: Logger,
   ) {}
 
-  /** The upstreams that are still used, as they are to be treated. */
+  /** Entries of the upstreams that have not expired yet; those past the first stage count as draining. */
   get entries(): readonly UpstreamEntry[] {
     return [...this.lapses.values()].map(({ entry, stage }) =>
       stage === ExpiryStage.Present ? entry : { ...entry, draining: true },
     );
   }
 
-  /** Notes that an entry vanished; its upstream counts as before at first. */
+  /** Starts the expiry of an upstream whose entry has disappeared; it stays in use at first. */
   add(entry: UpstreamEntry, now: number): void {
     this.lapses.set(entry.id, { entry, since: now, stage: ExpiryStage.Present });
     this.log.info('upstream-entry-missing', { upstream: entry.id, group: entry.group });
   }
 
-  /** The vanished entry of an upstream, as it was; undefined when it has one or is forgotten. */
+  /** The last entry of an upstream whose entry has disappeared; undefined if it has an entry or has expired. */
   entry(id: UpstreamId): UpstreamEntry | undefined {
     return this.lapses.get(id)?.entry;
   }
 
-  /** Notes that an upstream has an entry again, be it of another one under its id. */
+  /** Ends the expiry of an upstream that has an entry again, which may be of another upstream with the same id. */
   remove(id: UpstreamId): void {
     this.lapses.delete(id);
   }
 
   /**
-   * Looks at what each upstream counts as at `now`. While the documents held are not those of the
-   * store, no entry can come back, so the time does not run.
+   * Updates the stage of each upstream at `now`. While the cached documents are not current, an entry that was
+   * written again would not be seen, so the missing time starts over.
    *
-   * @returns whether anything has changed.
+   * @returns whether any stage has changed.
    */
   updateStages(current: boolean, now: number): boolean {
     let changed = false;
--- a/packages/gateway/src/control/store/guarded-store.ts
+++ b/packages/gateway/src/control/store/guarded-store.ts
@@ -1,6 +1,6 @@
 /**
- * The metadata store as the gateway uses it: answers of an era that is over are told and not used, and a change whose
- * conditions are of another era than the present one is not made.
+ * Wraps the metadata store with checks of the era: answers of a previous era are logged and rejected, and a change
+ * whose conditions belong to another era than the current one is not made.
  */
 import type { GladespoolError, StorePosition } from '@gladespool/coordination';
 import { gladespoolError, Step } from '@gladespool/coordination';
@@ -18,13 +18,13 @@
 } from './metadata-store.js';
 import { eraKey } from './store-documents.js';
 
-/** What the guard knows of the present era. */
+/** Source of the current era. */
 export interface EraSource {
-  /** Latest era that this host has heard of. */
+  /** Latest era that this host knows of. */
   readonly era: number;
 }
 
-/** A store whose answers and changes are of one era. */
+/** Client of the store that accepts answers and makes changes of the current era only. */
 export class GuardedStore implements MetadataStore {
   constructor(
     private readonly store: MetadataStore,
@@ -61,7 +61,7 @@
     );
   }
 
-  /** An answer of another era than that of the conditions leaves open what the change met there. */
+  /** If the answer is of another era than the conditions, it is unknown against which versions they were checked. */
   async change(
     change: StoreChange,
     purpose: StorePurpose,
@@ -76,7 +76,9 @@
     const { position } = result.value;
     if (position.era === era || change.conditions.length === 0) return result;
     this.log.warn('store-change-in-other-era', { era, done_in: position.era });
-    return err(gladespoolError(place(Step.StoreWrite), 'changed in another era of the store'));
+    return err(
+      gladespoolError(place(Step.StoreWrite), 'change was made in another era of the store'),
+    );
   }
 
   private ofPresentEra<Answer>(
@@ -87,13 +89,13 @@
     const { era: present } = this.known;
     if (era >= present) return ok(answer);
     this.log.warn('store-answer-of-former-era', { step, era, present });
-    return err(gladespoolError(place(step), 'answer of a former era of the store'));
+    return err(gladespoolError(place(step), 'answer belongs to a previous era of the store'));
   }
 }
 
 /**
- * The change under the condition that the next era is not opened. A call that got no answer may be carried out seconds
- * later, when its conditions hold again by revisions that were given out anew.
+ * Adds the condition that the next era is not opened. A call without an answer may still be executed seconds later,
+ * when its conditions can match again because a restored store reuses revisions.
  */
 function beforeNextEra(change: StoreChange, era: number): StoreChange {
   const next = { key: eraKey(era + 1), position: { era, revision: 0 } };
--- a/packages/gateway/src/control/store/metadata-store.ts
+++ b/packages/gateway/src/control/store/metadata-store.ts
@@ -1,6 +1,5 @@
 /**
- * What the gateway asks of the metadata store: linearizable reads, watches, and changes under a
- * condition.
+ * Interface of the metadata store: linearizable reads, watches, and conditional changes.
  */
 import type { GladespoolError, StorePosition } from '@gladespool/coordination';
 import type { Result } from 'neverthrow';
@@ -9,7 +8,7 @@
 export interface StoreItem {
   readonly key: string;
   readonly value: string;
-  /** Position of its latest change, in the era in which the store showed it. */
+  /** Position of its latest change, in the era in which it was read. */
   readonly position: StorePosition;
 }
 
@@ -20,52 +19,52 @@
   readonly position: StorePosition;
 }
 
-/** One key as a read found it. */
+/** Result of reading one key. */
 export interface StoreEntry {
   /** Undefined when the key does not exist. */
   readonly item: StoreItem | undefined;
-  /** Position of the store that the read showed; only its era is told when the key does not exist. */
+  /** Position of the store at the read; only its era is set when the key does not exist. */
   readonly position: StorePosition;
 }
 
-/** One change seen by a watch. */
+/** One change reported by a watch. */
 export type StoreEvent =
   | { readonly kind: 'written'; readonly item: StoreItem }
   | { readonly kind: 'removed'; readonly key: string; readonly position: StorePosition };
 
-/** What a watch brought. */
+/** Result of a watch. */
 export type WatchResult =
   | {
       readonly kind: 'events';
       readonly events: readonly StoreEvent[];
       readonly position: StorePosition;
     }
-  /** The store does not have the changes asked for; everything has to be read anew. */
+  /** The store no longer has the requested changes; everything has to be read again. */
   | { readonly kind: 'compacted' };
 
-/** A condition of a change: the key's latest change is this one; revision 0 means that it does not exist. */
+/** Condition of a change: the key's latest change is at this position; revision 0 requires that it does not exist. */
 export interface StoreCondition {
   readonly key: string;
   readonly position: StorePosition;
 }
 
-/** A change of several keys, all or nothing. */
+/** An atomic change of several keys. */
 export interface StoreChange {
   readonly conditions: readonly StoreCondition[];
   readonly writes: readonly { readonly key: string; readonly value: string }[];
   readonly removals: readonly string[];
 }
 
-/** How a change ended; an error means that it may or may not have been done. */
+/** Result of a change; an error instead of it means that the change may or may not have been made. */
 export type ChangeResult =
   { readonly kind: 'done'; readonly position: StorePosition } | { readonly kind: 'conflict' };
 
-/** How a change ended, in one word or the message of its error; for the log. */
+/** Text of a change's result for the log: its kind, or the error message. */
 export function changeResultText(result: Result<ChangeResult, GladespoolError>): string {
   return result.isErr() ? result.error.message : result.value.kind;
 }
 
-/** What a call to the store is for; label of its counter. */
+/** Purpose of a call to the store; label of the call counter. */
 export enum StorePurpose {
   Proof = 'proof',
   Follow = 'follow',
@@ -76,19 +75,19 @@
 
 /** Client of the metadata store. */
 export interface MetadataStore {
-  /** Reads all keys under a prefix, never stale. */
+  /** Reads all keys under a prefix; the read is linearizable. */
   range(
     prefix: string,
     purpose: StorePurpose,
     timeoutMs: number,
   ): Promise<Result<StoreRange, GladespoolError>>;
-  /** Reads one key, never stale. */
+  /** Reads one key; the read is linearizable. */
   read(
     key: string,
     purpose: StorePurpose,
     timeoutMs: number,
   ): Promise<Result<StoreEntry, GladespoolError>>;
-  /** Waits up to `waitMs` for changes after a position; whether the answer is of its era is for the caller to see. */
+  /** Waits up to `waitMs` for changes after a position; the caller has to check that the result is of the same era. */
   watch(
     prefix: string,
     after: StorePosition,
--- a/packages/gateway/src/control/store/registrar.ts
+++ b/packages/gateway/src/control/store/registrar.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps this host's entry in the metadata store. The entry has no lease: whoever changes a primary
- * asks every host that is listed, so it must not vanish while its host may hold a proof.
+ * Registers this host in the metadata store. The entry has no expiry: a change of primary contacts every listed host,
+ * so the entry must not disappear while its host may hold a valid proof.
  */
 import { formatStorePosition } from '@gladespool/coordination';
 import type { Logger } from '@gladespool/observability';
@@ -9,35 +9,35 @@
 import { changeResultText, StorePurpose } from './metadata-store.js';
 import { hostKey } from './store-documents.js';
 
-/** Longest time for writing the entry, milliseconds. */
+/** Timeout for writing the entry, milliseconds. */
 const WRITE_TIMEOUT_MS = 1500;
 
 /**
- * Longest time for the read that measures the round trip to the store, milliseconds: far above the way to another
- * region; callers of a host that starts wait meanwhile.
+ * Timeout of the read that measures the round trip to the store, milliseconds: far above the round trip to another
+ * region, but short, since callers of a starting host wait for it.
  */
 const MEASURE_TIMEOUT_MS = 300;
 
-/** Time for removing the entry where none is left, milliseconds: the store mostly answers within it. */
+/** Minimum timeout for removing the entry, milliseconds: the store mostly answers within it. */
 const LEAST_REMOVAL_MS = 100;
 
-/** Time between two tries that failed, milliseconds: a store that is down is not called by all hosts at each tick. */
+/** Delay after a failed attempt, milliseconds: keeps all hosts from calling an unavailable store at each tick. */
 const RETRY_MS = 250;
 
-/** An entry that the store has taken. */
+/** An entry that was written to the store. */
 export interface Registration {
   readonly item: StoreItem;
-  /** Local time at which it was sent. */
+  /** Local time at which the write was sent. */
   readonly sentAt: number;
 }
 
-/** Registers one host. */
+/** Registers one host in the store and removes it when it stops. */
 export class HostRegistrar {
-  /** Whether the store's present era refused the latest try: this host knows a former one only. */
+  /** Whether the store refused the last attempt because it is in a newer era than this host knows. */
   isRefused = false;
   private writing = false;
   private notBefore = Number.NEGATIVE_INFINITY;
-  /** Round trip to the store, milliseconds; undefined before it is measured, and where it need not be. */
+  /** Round trip to the store, milliseconds; undefined before it is measured, and in a single region. */
   private storeRoundTripMs: number | undefined;
 
   constructor(
@@ -47,12 +47,12 @@
     private readonly log: Logger,
   ) {}
 
-  /** Whether the entry on the board is that of this very process. */
+  /** Whether the board lists this host with the incarnation of this process. */
   get isListed(): boolean {
     return this.board.hosts.get(this.self.host)?.incarnation === this.self.incarnation;
   }
 
-  /** Writes the entry if it is not listed; the entry if this call has written it. */
+  /** Writes the entry if this host is not listed; returns it only if this call has written it. */
   async ensureRegistered(): Promise<Registration | undefined> {
     const isDue = !this.writing && performance.now() >= this.notBefore;
     if (this.isListed || this.board.draining || !isDue) return undefined;
@@ -64,7 +64,7 @@
   }
 
   private async write(): Promise<Registration | undefined> {
-    // A host that began to stop during the measurement would stay listed: it has looked for its entry already.
+    // A host that began to drain during the measurement has already looked for its entry, and would stay listed.
     if (this.board.draining) return undefined;
     const sentAt = performance.now();
     const entry: HostEntry = { ...this.self, storeRoundTripMs: this.storeRoundTripMs };
@@ -84,8 +84,8 @@
   }
 
   /**
-   * Measures the round trip to the store once, by a read that is small, so that the bandwidth of the way does not
-   * count, and that comes after others, so that no connection has to be opened for it.
+   * Measures the round trip to the store once. The read is small, so that bandwidth does not matter, and runs after
+   * others, so that it needs no new connection.
    */
   private async measure(): Promise<void> {
     if (this.storeRoundTripMs !== undefined) return;
@@ -100,8 +100,8 @@
   }
 
   /**
-   * Removes the entry; only when this host uses no primary any more. A host that waited longer than `timeoutMs` would be
-   * killed while it stops; its entry is taken off the list by others then.
+   * Removes the entry; must be called only when this host no longer uses any primary. `timeoutMs` limits the wait,
+   * since a host that stops too slowly is killed; other hosts then remove its entry.
    */
   async remove(timeoutMs: number): Promise<void> {
     const isUnreadable = this.board.unreadableHosts.has(this.self.host);
--- a/packages/gateway/src/control/store/stale-versions.ts
+++ b/packages/gateway/src/control/store/stale-versions.ts
@@ -1,49 +1,51 @@
 /**
- * Versions of documents that the store shows in its present era and that are not used, since they may be older than
- * what the host knows already.
+ * Versions of documents that the store has in its current era but that are ignored, because they may be older than the
+ * versions that the host already knows.
  */
 import type { StorePosition } from '@gladespool/coordination';
 import type { StoreDocument } from './document-cache.js';
 import type { StoreItem } from './metadata-store.js';
 
-/** A version that is not used. */
+/** A version that is ignored. */
 export interface StaleVersion {
   readonly document: StoreDocument;
   readonly item: StoreItem;
 }
 
 /**
- * Time after which the store's word on an upstream counts that its owner has not changed, milliseconds. Upstreams that
- * live write their entries again within 2 s, and entries of those that don't are gone after three missed writes.
+ * Time after which a stale entry of an upstream is used if its owner has not rewritten it, milliseconds. Live upstreams
+ * rewrite their entries within 2 s, and the entry of one that stopped is gone after three missed writes.
  */
 const UPSTREAM_MS = 5000;
-/** The same for an evacuation that had ended, milliseconds: less than the time in which a new one is to be obeyed. */
+/**
+ * Time after which an evacuation is obeyed that had ended but reappears in the store, milliseconds: less than the time
+ * within which a new one has to take effect.
+ */
 const EVACUATION_BACK_MS = 3000;
 /**
- * Time after which an evacuation ends that the store shows no more, milliseconds: operators write again what they wrote,
- * some time later, and upstreams of an evacuated zone must get nothing meanwhile.
+ * Time after which an evacuation ends that the store has lost, milliseconds: operators take some time to write it
+ * again, and upstreams of the evacuated zone must get no work until then.
  */
 const EVACUATION_GONE_MS = 15_000;
-/** Time after which a host is off the list that does not list itself again, milliseconds; ten proofs' lives. */
+/** Time after which a host that does not register again is dropped, milliseconds: ten times the lifetime of a proof. */
 const HOST_GONE_MS = 10_000;
 
-/** Time for which a host goes on without a document that has ended, though the store shows it, milliseconds. */
+/** Time for which a stale version in the store is ignored, milliseconds. */
 export function ignoreStaleForMs({ kind }: StoreDocument): number {
   if (kind === 'upstream') return UPSTREAM_MS;
   return kind === 'evacuation' ? EVACUATION_BACK_MS : Number.POSITIVE_INFINITY;
 }
 
-/** Time for which a host goes on with a document that the store does not show any more, milliseconds. */
+/** Time for which a document that the store has lost is retained, milliseconds. */
 export function retainMissingForMs({ kind }: StoreDocument): number {
   if (kind === 'host') return HOST_GONE_MS;
   return kind === 'evacuation' ? EVACUATION_GONE_MS : Number.POSITIVE_INFINITY;
 }
 
-/** The versions that one host does not use. */
+/** The stale versions that one host knows of, by key. */
 export class StaleVersions {
   private readonly copies = new Map<string, StaleVersion>();
 
-  /** All of them. */
   get all(): readonly StaleVersion[] {
     return [...this.copies.values()];
   }
@@ -52,7 +54,7 @@
     return this.copies.get(key);
   }
 
-  /** Position at which the store has this version of a key. */
+  /** Position of a key's stale version in the store. */
   positionOf(key: string): StorePosition | undefined {
     return this.copies.get(key)?.item.position;
   }
@@ -65,7 +67,7 @@
     this.copies.delete(key);
   }
 
-  /** Forgets those of eras before `era`. */
+  /** Deletes versions of eras before `era`. */
   deleteBefore(era: number): void {
     for (const { item } of this.all) {
       if (item.position.era < era) this.copies.delete(item.key);
--- a/packages/gateway/src/control/store/store-documents.ts
+++ b/packages/gateway/src/control/store/store-documents.ts
@@ -1,5 +1,5 @@
 /**
- * Keys and documents that the gateway itself keeps in the metadata store.
+ * Keys and schemas of the documents that the gateway itself writes to the metadata store.
  */
 import type { GroupId, HostId, PrimaryRecord } from '@gladespool/coordination';
 import { azId, groupId, hostId, RecordPhase, upstreamId } from '@gladespool/coordination';
@@ -16,7 +16,7 @@
 const HOST_PREFIX = `${OWN_PREFIX}host/`;
 const PRIMARY_PREFIX = `${OWN_PREFIX}primary/`;
 const ERA_PREFIX = `${OWN_PREFIX}era/`;
-/** Key of the record of who may call for promotions. */
+/** Key of the promotion lease. */
 export const PROMOTION_LEASE_KEY = `${OWN_PREFIX}duty`;
 
 const count = z.int().nonnegative();
@@ -54,26 +54,26 @@
 const promotionLeaseSchema = z.object({
   holder: z.string().transform(hostId),
   incarnation: count,
-  /** Grows whenever the holder changes. */
+  /** Increases whenever the holder changes. */
   fence: count,
-  /** Grows with each renewal, so that every one shows as a change. */
+  /** Increases with each renewal, so that every renewal is visible as a change. */
   renewal: count,
 });
 
 const eraMarkerSchema = z.object({
-  /** Version of the configuration that the hosts knew as the era was opened; missing where they knew none. */
+  /** Version of the configuration that the hosts knew when the era was opened; missing if they knew none. */
   catalogVersion: z.int().optional(),
 });
 
-/** Who may call for promotions. */
+/** The promotion lease: its holder alone may request promotions. */
 export type PromotionLeaseRecord = z.infer<typeof promotionLeaseSchema>;
 
-/** A document of the gateway found in the store. */
+/** A document that the gateway has written to the store. */
 export type OwnDocument =
   | { readonly kind: 'host'; readonly entry: HostEntry }
   | { readonly kind: 'primary'; readonly record: PrimaryRecord }
   | { readonly kind: 'duty'; readonly duty: PromotionLeaseRecord }
-  /** Marks an era of the store as one whose documents of the gateway can be relied on. */
+  /** Marks an era of the store as one that has all documents of the gateway. */
   | { readonly kind: 'era'; readonly catalogVersion: number | undefined };
 
 /** Key of a host's entry. */
@@ -91,17 +91,17 @@
   return `${ERA_PREFIX}${era}`;
 }
 
-/** The group whose record lies under `key`; undefined when it is no record's key. */
+/** The group whose record is stored under `key`; undefined if it is not the key of a record. */
 export function groupOfKey(key: string): GroupId | undefined {
   return key.startsWith(PRIMARY_PREFIX) ? groupId(key.slice(PRIMARY_PREFIX.length)) : undefined;
 }
 
-/** The host whose entry lies under `key`; undefined when it is no entry's key. */
+/** The host whose entry is stored under `key`; undefined if it is not the key of a host entry. */
 export function hostOfKey(key: string): HostId | undefined {
   return key.startsWith(HOST_PREFIX) ? hostId(key.slice(HOST_PREFIX.length)) : undefined;
 }
 
-/** Reads a document of the gateway. */
+/** Decodes a document of the gateway. */
 export function readOwnDocument(key: string, text: string): DocumentReadResult<OwnDocument> {
   const host = hostOfKey(key);
   if (host !== undefined) return toReadResult(decodeHost(host, text));
@@ -118,7 +118,7 @@
   return toReadResult(duty.map((decoded) => ({ kind: 'duty', duty: decoded }) as const));
 }
 
-/** An entry counts only under the key of its host: nobody else can list one. */
+/** An entry is valid only under the key of its host, so that it can't list another one. */
 function decodeHost(host: HostId, text: string): Result<OwnDocument, string> {
   const entry = parseUntrustedJson(hostEntrySchema, text, MAX_ENTRY_CHARS);
   return entry.andThen<Result<OwnDocument, string>>((decoded) =>
@@ -126,7 +126,7 @@
   );
 }
 
-/** A record counts only under the key of its group, since just that key is changed under a condition. */
+/** A record is valid only under the key of its group, since only that key is checked by conditional changes. */
 function decodeRecord(group: GroupId, text: string): Result<OwnDocument, string> {
   const record = parseUntrustedJson(primaryRecordSchema, text, MAX_ENTRY_CHARS);
   return record.andThen<Result<OwnDocument, string>>((decoded) =>
--- a/packages/gateway/src/control/store/store-follower.ts
+++ b/packages/gateway/src/control/store/store-follower.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the view of the store up to date: reads everything once, then watches; reads everything
- * again when the watch has missed something.
+ * Keeps the local view of the store up to date: reads everything once, then watches for changes, and reads everything
+ * again when the watch has missed some.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { GladespoolError } from '@gladespool/coordination';
@@ -10,24 +10,24 @@
 import { StorePurpose } from './metadata-store.js';
 import type { StoreView } from './store-view.js';
 
-/** Times of the follower. */
+/** Timing of the follower. */
 export interface FollowerRules {
-  /** Longest time for one read, milliseconds. */
+  /** Timeout of one read, milliseconds. */
   readonly readTimeoutMs: number;
-  /** Time after which a quiet watch is renewed, milliseconds. */
+  /** Duration of one watch without changes, milliseconds. */
   readonly watchMs: number;
-  /** Pause after a failed call, and after a second watch in a row whose history is gone, milliseconds. */
+  /** Delay after a failed call, and after a second watch in a row whose history is gone, milliseconds. */
   readonly retryMs: number;
 }
 
-/** 12 s a watch: three a day of 40 s; a lost one is noticed by the proofs long before. */
+/** `watchMs`: three watches in a benchmark run of 40 s; the renewal of proofs notices a lost watch much earlier. */
 export const DEFAULT_FOLLOWER: FollowerRules = {
   readTimeoutMs: 4000,
   watchMs: 12_000,
   retryMs: 250,
 };
 
-/** What the follower works on. */
+/** Dependencies of the follower. */
 export interface FollowerOptions {
   readonly store: MetadataStore;
   readonly view: StoreView;
@@ -36,22 +36,22 @@
   readonly rules: FollowerRules;
 }
 
-/** Follows the store for as long as it is active. */
+/** Follows the store while it is active. */
 export class StoreFollower {
   private active = false;
-  /** Changes whenever the running loop must end or start over. */
+  /** Generation of the loop; changes whenever the running loop has to end or start over. */
   private turn = 0;
-  /** Whether everything is being read; on a slow link that outlasts several proofs. */
+  /** Whether a full read is running; on a slow link it takes longer than several renewals of proofs. */
   private readingAll = false;
   private reachable = true;
-  /** Whether the latest watch was told that its history is gone. */
+  /** Whether the last watch found that the store no longer has the history it needs. */
   private isHistoryGone = false;
-  /** Local time before which everything is not read once more, after a read that failed. */
+  /** Local time before which `readOnce` does nothing, after a failed read. */
   private catchUpNotBefore = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: FollowerOptions) {}
 
-  /** Starts or stops to follow. */
+  /** Starts or stops following. */
   setActive(active: boolean): void {
     if (active === this.active) return;
     this.active = active;
@@ -64,14 +64,14 @@
     return this.active;
   }
 
-  /** Reads everything once, without following; not sooner after a failure than a follower would. */
+  /** Reads everything once, without following; after a failure not before the retry delay has passed. */
   async readOnce(): Promise<void> {
     if (this.active || this.readingAll || performance.now() < this.catchUpNotBefore) return;
     const read = await this.readAll(this.turn);
     if (!read) this.catchUpNotBefore = performance.now() + this.options.rules.retryMs;
   }
 
-  /** Reads everything again, since the watch has missed a change; once is enough at a time. */
+  /** Reads everything again because the watch has missed a change, unless a full read is already running. */
   resync(): void {
     if (!this.active || this.readingAll) return;
     this.turn += 1;
@@ -100,12 +100,12 @@
       return false;
     }
     this.noteReached();
-    // What was read counts also when this host no longer follows, or began anew meanwhile.
+    // The result is valid even if the follower was stopped or restarted in the meantime.
     view.replace('', range.value, performance.now());
     return this.turn === turn;
   }
 
-  /** @returns false when everything has to be read anew, now or after the pause that a failure asks for. */
+  /** @returns false when everything has to be read again. */
   private async watchOnce(turn: number): Promise<boolean> {
     const { store, view, rules, metrics, log } = this.options;
     const result = await store.watch('', view.position, rules.watchMs);
@@ -119,14 +119,14 @@
     this.noteReached();
     if (result.value.kind === 'compacted') {
       log.info('store-history-gone', { position: formatStorePosition(view.position) });
-      // A store that keeps no history at all must not be read without a pause.
+      // Without the delay, a store that keeps no history at all would be read in a tight loop.
       if (this.isHistoryGone) await pause(rules.retryMs);
       this.isHistoryGone = true;
       return false;
     }
     this.isHistoryGone = false;
     const { events, position } = result.value;
-    // Changes of a new era don't begin where the view ends, though its revision may be there again.
+    // Changes of a new era do not continue from the view's position, although its revision may exist again.
     if (position.era !== view.position.era) return false;
     view.applyEvents(events, position, performance.now());
     return true;
--- a/packages/gateway/src/control/store/store-view.ts
+++ b/packages/gateway/src/control/store/store-view.ts
@@ -1,5 +1,5 @@
 /**
- * The store's documents as this host has seen them, and their effect on the board.
+ * Local view of the store's documents, and the rules by which they are applied to the board.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { ExpiryRules, SeenPromotionLease, StorePosition } from '@gladespool/coordination';
@@ -36,39 +36,39 @@
 import type { OwnChanges, ViewDelta } from './view-delta.js';
 import { DeltaBuilder } from './view-delta.js';
 
-/** The duty record with what is needed to replace it and to wait it out. */
+/** The promotion lease with the time from which its expiry is counted. */
 export interface HeldPromotionLease {
   readonly duty: PromotionLeaseRecord;
   /** Local time at which this version was first seen. */
   readonly seenAt: number;
 }
 
-/** Time between two looks at whether a change has arrived, milliseconds: about a round trip of the store. */
+/** Poll interval while waiting for a change to arrive, milliseconds: about a round trip to the store. */
 const WAIT_STEP_MS = 5;
-/** Age from which the documents held may no longer be those of the store, milliseconds: two failed renewals. */
+/** Age from which the cached documents may be outdated, milliseconds: two failed renewals of the proof. */
 const OUTDATED_AFTER_MS = 1000;
-/** Time between two looks at documents that are kept against what the store shows, milliseconds. */
+/** Interval between two reviews of documents that differ from what the store has, milliseconds. */
 const KEPT_REVIEW_MS = 500;
 /**
- * Time for which a host that starts waits for a configuration that others knew and the store has lost, milliseconds. All
- * hosts that knew it may be gone.
+ * Time for which a starting host waits for a configuration that others knew and the store has lost, milliseconds. It is
+ * limited because all hosts that knew it may be gone.
  */
 const CATALOG_MS = 15_000;
 
-/** What a view works with. */
+/** Dependencies of the view. */
 export interface StoreViewOptions {
   readonly board: GatewayBoard;
   readonly reader: DocumentReader;
   readonly metrics: HostMetrics;
   readonly log: Logger;
-  /** Local time at which the view begins; what was removed shortly before is not known. */
+  /** Local time at which the view starts; removals shortly before it are unknown. */
   readonly startedAt: number;
   readonly lapse: ExpiryRules;
 }
 
 /**
- * Documents by key, applied to the board. In a new era of the store, which has lost its last changes, nothing that was
- * known goes back: a document stays in use until the store shows one that is at least as new.
+ * Documents by key, applied to the board. When the store starts a new era, it has lost its latest changes; the view
+ * never reverts them: a document stays in use until the store has one that is at least as new.
  */
 export class StoreView {
   /** Position of the store up to which this view is complete; the start before the first read. */
@@ -78,11 +78,11 @@
   private currentAt = Number.NEGATIVE_INFINITY;
   private hostGoneAt: number;
   private ownKnown = STORE_START;
-  /** Local time from which documents count that are kept against what the store shows. */
+  /** Local time from which the retention of documents that differ from the store is counted. */
   private keptSince: number;
-  /** Local time before which these are not looked at once more. */
+  /** Local time of the next review of these documents. */
   private reviewNotBefore = Number.NEGATIVE_INFINITY;
-  /** Whether no newer configuration than what the store shows is waited for any more. */
+  /** Whether this host no longer waits for a newer configuration than the one in the store. */
   private takesAnyCatalog = false;
   private readonly held = new DocumentCache();
   private readonly copies = new StaleVersions();
@@ -112,70 +112,70 @@
     return this.position.revision > 0;
   }
 
-  /** Latest era of the store that this view has heard of, be it by a read that showed nothing. */
+  /** Latest known era of the store, also if it is known only from a read without results. */
   get era(): number {
     return laterOf(this.newest, this.ownPosition).era;
   }
 
-  /** Whether the present era of the store is marked as one that holds all that was acted on before it. */
+  /** Whether the current era of the store is marked as one that has every gateway document in use before it. */
   get isEraOpened(): boolean {
     const { era } = this.ownPosition;
     return era === STORE_START.era || this.has(eraKey(era));
   }
 
-  /** Whether what the store shows of the gateway's own documents can be relied on. */
+  /** Whether the gateway's own documents in the store are complete, so that a read of them is a valid proof. */
   get isEraSettled(): boolean {
     return this.isEraOpened && !this.held.recordEras.hasBefore(this.ownPosition.era);
   }
 
-  /** The records that the present era of the store lacks, or has older versions of. */
+  /** The records that are missing from the current era of the store, or are older there. */
   get lostRecords(): readonly CachedRecord[] {
     return this.held.all.filter(isRecord).filter(({ item }) => this.isLost(item.key));
   }
 
-  /** Whether the present era of the store lacks one of the gateway's own documents, or has an older version. */
+  /** Whether one of the gateway's own documents is missing from the current era of the store, or is older there. */
   isLost(key: string): boolean {
     const heldAt = this.held.positionOf(key);
     return heldAt !== undefined && heldAt.era < this.ownPosition.era;
   }
 
-  /** Whether a key is there. */
+  /** Whether a key is cached. */
   has(key: string): boolean {
     return this.held.positionOf(key) !== undefined;
   }
 
-  /** Whether this host has still to learn of a configuration that hosts knew before the present era. */
+  /** Whether this host still waits for a configuration that other hosts knew before the current era. */
   get awaitsCatalog(): boolean {
     return this.publisher.awaitsCatalog;
   }
 
-  /** Position of the store of the latest change that this view has heard of. */
+  /** Position of the latest change that this view knows of. */
   get newest(): StorePosition {
     return this.held.newest;
   }
 
-  /** Position of the latest change of a document that is none of the gateway's own. */
+  /** Position of the latest change of a document that was not written by the gateway. */
   get documentsPosition(): StorePosition {
     return this.held.foreignNewest;
   }
 
-  /** Latest local time at which the documents held were surely those of the store; -Infinity before. */
+  /** Latest local time at which the cached documents were known to match the store; -Infinity before the first one. */
   get lastCurrentAt(): number {
     return this.currentAt;
   }
 
-  /** Who may call for promotions, for the decisions about it. */
+  /** The promotion lease as the coordination rules need it. */
   get seenDuty(): SeenPromotionLease | undefined {
     return this.duty && { ...this.duty.duty, seenAt: this.duty.seenAt };
   }
 
-  /** Notes that the documents held were those of the store at local time `at`. */
+  /** Records that the cached documents matched the store at local time `at`. */
   markCurrent(at: number): void {
     this.currentAt = Math.max(this.currentAt, at);
     this.board.catalogConfirmedAt = this.currentAt;
   }
 
-  /** Latest local time at which a host may have been taken off the list, as far as this view knows. */
+  /** Latest local time at which a host may have been removed from the list, as far as this view knows. */
   get lastHostRemovalAt(): number {
     return this.hostGoneAt;
   }
@@ -190,7 +190,7 @@
     return this.held.wasListed(host, incarnation, position);
   }
 
-  /** Waits until all of the gateway's own documents up to `position` are held, `timeoutMs` at most. */
+  /** Waits up to `timeoutMs` until all of the gateway's own documents up to `position` are cached. */
   async waitForOwnDocuments(position: StorePosition, timeoutMs: number): Promise<void> {
     const until = performance.now() + timeoutMs;
     while (isLater(position, this.ownPosition) && performance.now() < until) {
@@ -203,14 +203,14 @@
     return !isLater(this.held.positionOf(key) ?? STORE_START, this.position);
   }
 
-  /** The condition that one of the gateway's own keys is in the store as this view last saw it there. */
+  /** The condition that one of the gateway's own keys is unchanged in the store since this view last saw it there. */
   conditionOn(key: string): StoreCondition {
     const { era } = this.ownPosition;
     const position = this.copies.positionOf(key) ?? this.held.positionOf(key);
     return { key, position: position?.era === era ? position : { era, revision: 0 } };
   }
 
-  /** Replaces everything under `prefix` by what a read returned. */
+  /** Replaces everything under `prefix` by the result of a read. */
   replace(prefix: string, range: StoreRange, now: number): void {
     this.noteEra(prefix, range.position, now);
     const present = new Set(range.items.map((item) => item.key));
@@ -224,23 +224,23 @@
     this.currentEra.markLoaded();
   }
 
-  /** The records of primaries and the duty, as stored. */
+  /** The records of primaries and the promotion lease, as stored. */
   recordItems(): readonly StoreItem[] {
     const isRecordKey = (key: string): boolean => groupOfKey(key) !== undefined;
     return this.held.items.filter(({ key }) => isRecordKey(key) || key === PROMOTION_LEASE_KEY);
   }
 
-  /** What has changed of the gateway's own documents since `since`; undefined if that is not known. */
+  /** Changes of the gateway's own documents after `since`; undefined if they are not all known. */
   ownChangesSince(since: StorePosition): OwnChanges | undefined {
     return this.deltas.ownChanges(since, this.ownPosition);
   }
 
-  /** What a host lacks that is complete up to `since`. */
+  /** What a host is missing that is complete up to `since`. */
   deltaSince(since: StorePosition): ViewDelta {
     return this.deltas.delta(since, this.position);
   }
 
-  /** Takes what another host passed on. */
+  /** Applies a delta that was received from another host. */
   applyDelta(delta: ViewDelta, now: number): void {
     if (delta.complete) {
       this.replace('', delta, now);
@@ -253,13 +253,13 @@
     this.applyEvents(events, delta.position, now);
   }
 
-  /** Applies single items that others pushed, without knowing what lies between. */
+  /** Applies single items received from other hosts; the position stays, since changes in between may be missing. */
   applyItems(items: readonly StoreItem[], now: number): void {
     for (const item of items) this.write(item, now);
     this.publisher.publish();
   }
 
-  /** Takes what another host told of the gateway's own documents, for the position that was asked about. */
+  /** Applies changes of the gateway's own documents that another host returned for the requested position. */
   applyOwnChanges(changes: OwnChanges, now: number): void {
     this.noteEra(OWN_PREFIX, changes.position, now);
     for (const item of changes.items) this.write(item, now);
@@ -269,18 +269,18 @@
     this.currentEra.markLoaded();
   }
 
-  /** Notes that the gateway's own documents held are all that there were at `position`. */
+  /** Records that all of the gateway's own documents up to `position` are cached. */
   markOwnComplete(position: StorePosition): void {
     this.ownKnown = laterOf(this.ownKnown, position);
   }
 
-  /** Notes that nothing but own documents, which are held, has changed up to `position`. */
+  /** Records that up to `position` only the gateway's own documents have changed, as far as those are cached. */
   markOnlyOwnChanged(position: StorePosition): void {
     const known = isLater(position, this.ownKnown) ? this.ownKnown : position;
     this.position = laterOf(this.position, known);
   }
 
-  /** Applies what a watch brought, or what another host told of the same era. */
+  /** Applies changes of the same era that were received from a watch or from another host. */
   applyEvents(events: readonly StoreEvent[], position: StorePosition, now: number): void {
     for (const event of events) {
       if (event.kind === 'written') this.write(event.item, now);
@@ -290,7 +290,7 @@
     this.publisher.publish();
   }
 
-  /** Looks at the upstreams whose entries are missing, and at what is kept against the store's word. */
+  /** Advances the expiry of upstreams without an entry, and reviews documents that differ from the store. */
   expireDocuments(now: number): void {
     const current = now - this.currentAt < OUTDATED_AFTER_MS;
     this.publisher.updateExpiredUpstreams(current, now);
@@ -299,7 +299,7 @@
     this.publisher.publish();
   }
 
-  /** Takes the store's word on what others have not changed in this era for long enough. */
+  /** Adopts the state of the store for documents that were not written again for long enough in this era. */
   private reviewKept(now: number): void {
     const { era } = this.ownPosition;
     const isKept = this.copies.all.length > 0 || this.held.eras.hasBefore(era);
@@ -324,14 +324,17 @@
     }
   }
 
-  /** Whether a key is held that the present era of the store does not have. */
+  /** Whether a key is cached that the current era of the store does not contain. */
   private isMissing(key: string): boolean {
     const { era } = key.startsWith(OWN_PREFIX) ? this.ownPosition : this.position;
     const heldAt = this.held.positionOf(key);
     return heldAt !== undefined && heldAt.era < era && this.copies.get(key) === undefined;
   }
 
-  /** Before an era is opened, nobody tells which configurations were known; after that, its marker does. */
+  /**
+   * Lowest configuration version that may be put in force. An opened era's marker gives it; before that it is unknown,
+   * so none may.
+   */
   private oldestCatalog(position: StorePosition): number {
     const { era } = laterOf(position, this.ownPosition);
     if (era === STORE_START.era || this.takesAnyCatalog) return Number.NEGATIVE_INFINITY;
@@ -340,7 +343,7 @@
     return marker.catalogVersion ?? Number.NEGATIVE_INFINITY;
   }
 
-  /** Notes the era of what was read under `prefix`, before it is applied. */
+  /** Starts a new era if what was read under `prefix` belongs to one; called before it is applied. */
   private noteEra(prefix: string, { era }: StorePosition, now: number): void {
     if (prefix === '' && era > this.position.era) this.keptSince = now;
     const former = this.ownPosition;
@@ -349,7 +352,7 @@
     this.copies.deleteBefore(era);
   }
 
-  /** A key that a read did not show: it is gone, unless only the present era has lost it. */
+  /** Handles a key that is missing from a read: it was removed, unless the current era has lost it. */
   private noteMissing(key: string, position: StorePosition, now: number): void {
     const heldAt = this.held.positionOf(key);
     if (heldAt === undefined || isLater(heldAt, position)) return;
@@ -369,15 +372,15 @@
     if (reading.verdict === DocumentVerdict.Unreadable) this.takeUnreadable(item, former, now);
   }
 
-  /** Whether this version of a key, or a later one of its era, was seen before. */
+  /** Whether this version of a key, or a later one of the same era, is already known. */
   private isKnown({ key, position }: StoreItem): boolean {
     const seen = [this.copies.positionOf(key), this.held.positionOf(key)];
     return seen.some((at) => at?.era === position.era && !isLater(position, at));
   }
 
   /**
-   * Takes a version of a key unless another one that is known is newer. Within an era the position decides; a later
-   * era may show what was overwritten before it began.
+   * Applies a version of a key unless a newer one is known. Within an era the position decides; a later era may contain
+   * versions that had been overwritten before it started.
    */
   private weigh(
     document: StoreDocument,
@@ -404,7 +407,7 @@
     }
   }
 
-  /** Whether a key that others had taken away is back only because a copy has it. */
+  /** Whether a removed key reappears only because the store was restored from a copy that still has it. */
   private isBackFromCopy(document: StoreDocument, { key, position }: StoreItem): boolean {
     const removedAt = this.removed.positionOf(key);
     if (removedAt === undefined || removedAt.era === position.era) return false;
@@ -426,7 +429,7 @@
     });
   }
 
-  /** An upstream that tells no birth has the one known of it. */
+  /** Adds the known start time to the entry of an upstream that does not report one. */
   private withBirth(document: StoreDocument, former: CachedDocument | undefined): StoreDocument {
     if (document.kind !== 'upstream') return document;
     const { entry } = document;
@@ -443,7 +446,7 @@
     const { key, position } = item;
     if (this.held.isUnreadable(key)) this.publisher.clearUnreadable(key);
     this.copies.delete(key);
-    // An evacuation is told by its key alone; its value may be long, and is neither kept nor passed on.
+    // The key alone defines an evacuation; its value may be long, so it is neither kept nor passed on.
     this.held.put(document, document.kind === 'evacuation' ? { ...item, value: '' } : item);
     if (document.kind === 'era') this.publisher.retryCatalog();
     if (document.kind === 'duty') this.duty = { duty: document.duty, seenAt: now };
@@ -464,13 +467,13 @@
     this.duty = { duty: { ...duty, renewal }, seenAt };
   }
 
-  /** Whether a key was removed later than this version of it was written. */
+  /** Whether a key was removed after this version of it was written. */
   private wasRemovedAfter(item: StoreItem): boolean {
     const removedAt = this.removed.positionOf(item.key);
     return removedAt !== undefined && isLater(removedAt, item.position);
   }
 
-  /** After a complete read, removals before it are not known one by one. */
+  /** Records a complete read; the single removals before it are then unknown. */
   private noteComplete(position: StorePosition): void {
     if (!isLater(position, this.position)) return;
     this.position = position;
@@ -478,7 +481,7 @@
     this.removed.markCompleteUpTo(position);
   }
 
-  /** Removes a key unless it was written again after `removal`. */
+  /** Removes a key unless it was written or removed after `removal`. */
   private removeOlder(removal: Tombstone, now: number): void {
     const { key, position } = removal;
     const removedAt = this.removed.positionOf(key) ?? STORE_START;
@@ -498,7 +501,7 @@
   }
 }
 
-/** The gateway's own documents first: they tell what others have to be waited for. */
+/** Sorts the gateway's own documents first: the marker of the era decides whether a configuration is new enough. */
 function ownFirst(items: readonly StoreItem[]): readonly StoreItem[] {
   const isOwn = ({ key }: StoreItem): boolean => key.startsWith(OWN_PREFIX);
   return [...items.filter(isOwn), ...items.filter((item) => !isOwn(item))];
--- a/packages/gateway/src/control/store/tombstones.ts
+++ b/packages/gateway/src/control/store/tombstones.ts
@@ -1,5 +1,5 @@
 /**
- * Keys that were removed from the store, remembered for hosts that have not heard of it.
+ * Keys that were removed from the store, kept so that the removals can be passed on to other hosts.
  */
 import type { StorePosition } from '@gladespool/coordination';
 import { isLater, laterOf, STORE_START } from '@gladespool/coordination';
@@ -7,36 +7,36 @@
 /** A key that was removed. */
 export interface Tombstone {
   readonly key: string;
-  /** Where it was removed. */
+  /** Position of the removal. */
   readonly position: StorePosition;
 }
 
-/** Removals remembered for other hosts. */
+/** Maximum number of removals that are kept. */
 const MAX_REMOVED = 500;
 
 /** The latest removals. */
 export class Tombstones {
-  /** Position of a key's removal, the latest removals last. */
+  /** Position of each key's removal, in order of insertion. */
   private readonly positions = new Map<string, StorePosition>();
-  /** Changes up to here are not all remembered as removals. */
+  /** Removals up to this position may be missing. */
   private completeSince = STORE_START;
 
-  /** The removals remembered, the latest last. */
+  /** The removals that are kept, the latest last. */
   get all(): readonly Tombstone[] {
     return [...this.positions].map(([key, position]) => ({ key, position }));
   }
 
-  /** Whether every removal after `position` is remembered. */
+  /** Whether every removal after `position` is kept. */
   coversChangesSince(position: StorePosition): boolean {
     return position.revision > 0 && !isLater(this.completeSince, position);
   }
 
-  /** Position of a key's removal; undefined when none is remembered. */
+  /** Position of a key's removal; undefined if none is kept. */
   positionOf(key: string): StorePosition | undefined {
     return this.positions.get(key);
   }
 
-  /** Remembers a removal; the oldest one is forgotten where there are too many. */
+  /** Adds a removal and evicts the oldest one above the maximum. */
   add({ key, position }: Tombstone): void {
     this.positions.delete(key);
     this.positions.set(key, position);
@@ -47,7 +47,7 @@
     this.completeSince = laterOf(this.completeSince, oldest.position);
   }
 
-  /** After a complete read, removals before it are not known one by one. */
+  /** Records a complete read at `position`: it does not show which keys were removed before it. */
   markCompleteUpTo(position: StorePosition): void {
     this.completeSince = laterOf(this.completeSince, position);
   }
--- a/packages/gateway/src/control/store/view-delta.ts
+++ b/packages/gateway/src/control/store/view-delta.ts
@@ -1,5 +1,5 @@
 /**
- * What other hosts are missing of the documents that a host holds.
+ * Computes which documents other hosts are missing.
  */
 import type { StorePosition } from '@gladespool/coordination';
 import { isLater } from '@gladespool/coordination';
@@ -9,19 +9,19 @@
 import type { Tombstone, Tombstones } from './tombstones.js';
 import { OWN_PREFIX } from './store-documents.js';
 
-/** What another host is missing. */
+/** Documents that another host is missing. */
 export interface ViewDelta {
-  /** Whether `items` are all there are. */
+  /** Whether `items` are all documents rather than changes. */
   readonly complete: boolean;
-  /** Position up to which the other host is complete with it. */
+  /** Position up to which the other host is complete after applying it. */
   readonly position: StorePosition;
   readonly items: readonly StoreItem[];
   readonly removed: readonly Tombstone[];
 }
 
-/** What has changed of the gateway's own documents since some position. */
+/** Changes of the gateway's own documents since some position. */
 export interface OwnChanges {
-  /** Position of the store up to which these and what was held before are all of them. */
+  /** Position of the store up to which the receiver is complete after applying them. */
   readonly position: StorePosition;
   readonly items: readonly StoreItem[];
   readonly removed: readonly Tombstone[];
@@ -33,7 +33,7 @@
   readonly position: StorePosition;
 }
 
-/** Works out what others lack. */
+/** Builds the deltas that are sent to other hosts. */
 export class DeltaBuilder {
   constructor(
     private readonly held: DocumentCache,
@@ -41,7 +41,7 @@
     private readonly removed: Tombstones,
   ) {}
 
-  /** What has changed of the gateway's own documents from `since` to `position`; undefined if not known. */
+  /** Changes of the gateway's own documents from `since` to `position`; undefined if removals are not all known. */
   ownChanges(since: StorePosition, position: StorePosition): OwnChanges | undefined {
     if (!this.removed.coversChangesSince(since)) return undefined;
     if (!isLater(this.held.ownNewest, since)) return { position, items: [], removed: [] };
@@ -51,7 +51,7 @@
     };
   }
 
-  /** What a host lacks that is complete up to `since`, from a host that is complete up to `position`. */
+  /** What a host is missing that is complete up to `since`; this host is complete up to `position`. */
   delta(since: StorePosition, position: StorePosition): ViewDelta {
     if (this.removed.coversChangesSince(since)) {
       const changes = this.changes((change) => isLater(change.position, since));
--- a/packages/gateway/src/knowledge/allowance-owner-directory.ts
+++ b/packages/gateway/src/knowledge/allowance-owner-directory.ts
@@ -1,7 +1,6 @@
 /**
- * Which host keeps the allowance of which workspace, and which stands in for it, from the hosts listed
- * now. Every host works out the same without a message; a host that is killed gets its workspaces back
- * when it returns.
+ * The hosts that own the allowance of each workspace, and their substitutes, computed from the listed hosts. Every host
+ * computes the same result without messages; a killed host owns the same workspaces again when it returns.
  */
 import type { HostId, WorkspaceId } from '@gladespool/coordination';
 import { rankCandidates, topCandidates } from '@gladespool/coordination';
@@ -9,18 +8,18 @@
 import { BoardSection } from './board.js';
 
 /**
- * Hosts for each keeper. Every operation asks once, so a keeper answers for eight hosts' operations: some
- * 2 % of a core at the ten operations a second of a small host, and a host holds few links to keepers.
+ * Hosts for each owner. Every operation sends one request, so an owner replies to the operations of eight hosts: about
+ * 2 % of a core at the ten operations a second of a small host, and a host needs links to only a few owners.
  */
 const HOSTS_PER_OWNER = 8;
-/** Keepers at least, so that the loss of one concerns a part of the workspaces only. */
+/** Minimum number of owners, so that the loss of one affects only part of the workspaces. */
 const MIN_OWNERS = 3;
 
-/** Keepers as this host sees them. */
+/** The allowance owners as computed by one host. */
 export class AllowanceOwnerDirectory {
   private keepers: readonly HostId[] = [];
   private readonly byWorkspace = new Map<WorkspaceId, readonly HostId[]>();
-  /** Local time since which the keepers are the present ones. */
+  /** Local time since which the set of owners is unchanged. */
   unchangedSince: number;
 
   constructor(
@@ -34,8 +33,8 @@
   }
 
   /**
-   * The host that keeps the allowance of a workspace, and one of another zone that stands in for it; none
-   * while no host is listed.
+   * The host that owns the allowance of a workspace, and a substitute, of another zone if there is one; empty while no
+   * host is listed.
    */
   ownersOf(workspace: WorkspaceId): readonly HostId[] {
     const held = this.byWorkspace.get(workspace);
--- a/packages/gateway/src/knowledge/board.ts
+++ b/packages/gateway/src/knowledge/board.ts
@@ -1,6 +1,6 @@
 /**
- * The blackboard of a gateway host: what it believes about configuration, upstreams, primaries and
- * other hosts. Controllers write it, sessions and homes read it, listeners hear of changes.
+ * The blackboard of a gateway host: its current state of configuration, upstreams, primaries and other hosts.
+ * Controllers write it, sessions and homes read it, and listeners are notified of changes.
  */
 import type {
   AuthorityRules,
@@ -23,46 +23,46 @@
   readonly port: number;
   /** Start time of the process; a restart is a higher incarnation. */
   readonly incarnation: number;
-  /** Bandwidth of the host's link, megabits a second; hosts with much of it serve the others. */
+  /** Bandwidth of the host's link, megabits a second; hosts with high bandwidth relay documents to the others. */
   readonly linkMbps: number;
   /**
-   * Round trip of the host's first small read of the store, milliseconds; told only where zones lie in several
-   * regions, and only if the read was answered.
+   * Round trip of the host's first small read of the store, milliseconds; set only where zones lie in several regions
+   * and the read succeeded.
    */
   readonly storeRoundTripMs?: number | undefined;
 }
 
-/** Parts of the board that listeners can watch. */
+/** Sections of the board that listeners can subscribe to. */
 export enum BoardSection {
   Catalog = 'catalog',
   Upstreams = 'upstreams',
   Records = 'records',
   Hosts = 'hosts',
-  /** The proof that the records held are those of the store. */
+  /** The proof that the records on the board are those of the store. */
   Proof = 'proof',
-  /** Zones whose upstreams the operators want out of use. */
+  /** Zones whose upstreams operators have taken out of use. */
   Evacuations = 'evacuations',
 }
 
-/** What one host believes. */
+/** The blackboard of one host. */
 export class GatewayBoard {
   catalog: Catalog | undefined;
   upstreams: ReadonlyMap<UpstreamId, UpstreamEntry> = new Map();
   hosts: ReadonlyMap<HostId, HostEntry> = new Map();
-  /** Hosts on the list whose entries can't be read: they can't be asked, and count as silent ones. */
+  /** Listed hosts whose entries can't be read: they can't be contacted, and count as not answering. */
   unreadableHosts: ReadonlySet<HostId> = new Set();
   /**
-   * Zones that the operators evacuate, with the latest local time at which this host surely knew the zone to be
-   * in use; -Infinity where it never did.
+   * Zones that operators evacuate, with the latest local time at which the zone was certainly not yet evacuated;
+   * -Infinity if this host never knew it to be in use.
    */
   evacuations: ReadonlyMap<AzId, number> = new Map();
-  /** Latest local time at which the configuration in force was surely the newest; -Infinity before. */
+  /** Latest local time at which the configuration in force was known to be the newest; -Infinity before the first. */
   catalogConfirmedAt = Number.NEGATIVE_INFINITY;
   /** Whether this host is stopping. */
   draining = false;
   private readonly records = new Map<GroupId, PrimaryRecord>();
   private provedAt = Number.NEGATIVE_INFINITY;
-  /** Whether no proof is taken any more, since this host is about to leave the list. */
+  /** Whether proofs are no longer accepted, because this host is about to be removed from the list. */
   private proofsEnded = false;
   private readonly listeners = new Map<BoardSection, Set<() => void>>();
 
@@ -72,7 +72,7 @@
     readonly topology: Topology = SINGLE_REGION,
   ) {}
 
-  /** Calls `listener` at each change of a section; the result stops that. */
+  /** Calls `listener` at each change of a section; returns a function that removes it. */
   onChange(section: BoardSection, listener: () => void): () => void {
     const listeners = this.listeners.get(section) ?? new Set();
     this.listeners.set(section, listeners);
@@ -80,7 +80,7 @@
     return () => listeners.delete(listener);
   }
 
-  /** Takes a configuration; an older one than that in force is passed over. */
+  /** Puts a configuration in force unless it is as old as, or older than, the current one; returns whether it did. */
   putCatalog(catalog: Catalog): boolean {
     if (this.catalog !== undefined && catalog.version <= this.catalog.version) return false;
     this.catalog = catalog;
@@ -88,13 +88,13 @@
     return true;
   }
 
-  /** Takes the upstreams listed now. */
+  /** Replaces the listed upstreams. */
   putUpstreams(upstreams: ReadonlyMap<UpstreamId, UpstreamEntry>): void {
     this.upstreams = upstreams;
     this.notify(BoardSection.Upstreams);
   }
 
-  /** Takes the hosts listed now; `unknown` ones are listed by entries that can't be read. */
+  /** Replaces the listed hosts; the entries of the `unknown` ones can't be read. */
   putHosts(
     hosts: ReadonlyMap<HostId, HostEntry>,
     unknown: ReadonlySet<HostId> = new Set<HostId>(),
@@ -104,23 +104,23 @@
     this.notify(BoardSection.Hosts);
   }
 
-  /** Hosts of which more than half are a majority. */
+  /** Number of hosts from which a majority is computed. */
   get listedHostCount(): number {
     return this.hosts.size + this.unreadableHosts.size;
   }
 
-  /** Whether the configuration in force holds a group; before the first one, none is judged. */
+  /** Whether the configuration in force contains a group; true for every group before there is a configuration. */
   isConfigured(group: GroupId): boolean {
     return this.catalog?.groups.has(group) ?? true;
   }
 
-  /** Takes the zones that are evacuated now. */
+  /** Replaces the evacuated zones. */
   putEvacuations(evacuations: ReadonlyMap<AzId, number>): void {
     this.evacuations = evacuations;
     this.notify(BoardSection.Evacuations);
   }
 
-  /** Takes a record; an older version of it is passed over. */
+  /** Stores a record unless a newer version of it is known; returns whether it did. */
   putRecord(record: PrimaryRecord): boolean {
     if (!isNewerRecord(this.records.get(record.group), record)) return false;
     this.records.set(record.group, record);
@@ -128,25 +128,25 @@
     return true;
   }
 
-  /** Notes that the records held are those of a read sent at `sentAt`. */
+  /** Records the proof that the records on the board are those of a read sent at `sentAt`. */
   recordProof(sentAt: number): void {
     if (this.proofsEnded || sentAt <= this.provedAt) return;
     this.provedAt = sentAt;
     this.notify(BoardSection.Proof);
   }
 
-  /** Gives every proof up, also those still to come, so that no primary is used any more. */
+  /** Revokes the proof and rejects later ones, so that no primary is used any more. */
   revokeProofs(): void {
     this.proofsEnded = true;
     this.provedAt = Number.NEGATIVE_INFINITY;
   }
 
-  /** Local time at which the read behind the newest proof was sent. */
+  /** Local time at which the read of the latest proof was sent; -Infinity if there is none. */
   get latestProofAt(): number {
     return this.provedAt;
   }
 
-  /** Whether this host is cut off at `now`; also before its first proof. */
+  /** Whether this host has no recent proof at `now`, and so counts as isolated; also before its first proof. */
   isIsolated(now: number, rules: AuthorityRules): boolean {
     return isIsolated(this.provedAt, now, rules);
   }
@@ -161,19 +161,19 @@
     return [...this.records.values()];
   }
 
-  /** What decides whether the primary of a group may be used. */
+  /** The input to the decision whether the primary of a group may be used. */
   authority(group: GroupId): AuthorityView {
     const record = this.records.get(group);
     const primaryStartTime = record && this.upstreams.get(record.primary)?.born;
     return { record, provedAt: this.provedAt, primaryStartTime };
   }
 
-  /** How statements for a database are served; undefined when it is not configured. */
+  /** The route of a database; undefined if it is not configured. */
   route(database: string): Route | undefined {
     return this.catalog?.routes.get(database);
   }
 
-  /** Upstreams of a group, the leaving ones included. */
+  /** Upstreams of a group, including draining ones. */
   upstreamsOf(group: GroupId): readonly UpstreamEntry[] {
     return [...this.upstreams.values()].filter((entry) => entry.group === group);
   }
--- a/packages/gateway/src/knowledge/home-directory.ts
+++ b/packages/gateway/src/knowledge/home-directory.ts
@@ -1,5 +1,5 @@
 /**
- * Which hosts are homes of a group, from the hosts listed now.
+ * The homes of each group, that is, the hosts that hold connections to its upstreams, computed from the listed hosts.
  */
 import type {
   AzId,
@@ -25,7 +25,7 @@
 import type { GatewayBoard } from './board.js';
 import { BoardSection } from './board.js';
 
-/** Homes as this host sees them. */
+/** The homes as computed by one host; plans are cached until hosts, catalog or upstreams change. */
 export class HomeDirectory {
   /** The listed hosts of each zone. */
   zones: ReadonlyMap<AzId, readonly HostId[]> = new Map();
@@ -43,7 +43,7 @@
     board.onChange(BoardSection.Upstreams, reset);
   }
 
-  /** The plan of a group. */
+  /** The placement of a group's homes. */
   plan(group: GroupId): HomePlan {
     const held = this.plans.get(group);
     if (held !== undefined) return held;
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Homes stand near the upstreams where zones lie in several regions, and where connections serve one
-   * workspace each; else each zone has its own.
+   * Homes are placed near the upstreams where zones lie in several regions, and where each connection is dedicated to
+   * one workspace; otherwise each zone has its own homes.
    */
   private makePlan(group: GroupId): HomePlan {
     const { topology } = this.board;
@@ -76,7 +76,7 @@
     return { connections, slots: Math.max(1, ...slots), workspaces };
   }
 
-  /** Whether this host holds connections of the group; a host that is not listed yet does. */
+  /** Whether this host holds connections of the group; true also while it is not listed. */
   isHome(group: GroupId): boolean {
     const { board } = this;
     if (!board.hosts.has(board.host)) return true;
@@ -85,12 +85,11 @@
   }
 
   /**
-   * Homes to ask for a workspace's work before this host does it itself, in order. A home asks
-   * none, except where homes stand near the upstreams: there it asks those nearer to the work.
-   * Where connections are bound to workspaces, a host that is no home has hardly any of them, so homes of
-   * other zones come before it.
+   * Homes to which this host forwards a workspace's statements before it runs them itself, in order. A home forwards to
+   * none, except where homes are placed near the upstreams: there it forwards to nearer ones. Where connections are
+   * dedicated to workspaces, a host that is not a home has hardly any of them, so homes of other zones are tried first.
    *
-   * @param onlyPrimary whether the primary alone can run it
+   * @param onlyPrimary whether only the primary can run the statement
    */
   preferredHomes(
     group: GroupId,
@@ -108,7 +107,7 @@
     return [...near, ...all.filter((host) => !near.includes(host))];
   }
 
-  /** Homes in the order in which this host asks them for work that only the primary does. */
+  /** Homes in the order in which this host forwards statements to them that only the primary can run. */
   homesOfPrimary(group: GroupId): readonly HostId[] {
     const { board } = this;
     const plan = this.plan(group);
@@ -117,7 +116,7 @@
     return primary === undefined ? [] : this.homesNearer(plan, primary.az);
   }
 
-  /** Homes in order of distance from `az`: all of them if this host is none, else only those nearer than it. */
+  /** Homes by distance from `az`; if this host is a home itself, only those that are nearer than it. */
   private homesNearer(plan: HomePlan, az: AzId): readonly HostId[] {
     const { host, topology } = this.board;
     const homes = homesNear(plan, az, host, topology);
@@ -131,13 +130,13 @@
     return topology.distance(hosts.get(host)?.az ?? az, az);
   }
 
-  /** Homes of the own zone in the order in which `host` asks them, so that hosts spread over them. */
+  /** Homes of this host's zone in the order in which `host` tries them, which differs by host to spread the load. */
   homesInZone(group: GroupId, host: HostId): readonly HostId[] {
     const homes = this.plan(group).homes.get(this.board.az) ?? [];
     return rankCandidates(`entry|${host}`, homes);
   }
 
-  /** Homes of the other zones in the order in which `host` asks them. */
+  /** Homes of the other zones in the order in which `host` tries them. */
   homesInOtherZones(group: GroupId, host: HostId): readonly HostId[] {
     const zones = [...this.plan(group).homes].filter(([az]) => az !== this.board.az);
     return rankCandidates(
--- a/packages/gateway/src/knowledge/promotion-tracker.ts
+++ b/packages/gateway/src/knowledge/promotion-tracker.ts
@@ -1,13 +1,13 @@
 /**
- * Follows the records of primaries: when a claim was first seen, and how long claims take until the
- * next primary serves.
+ * Tracks claims in the records of primaries: when a claim was first seen, and how long it takes until the next primary
+ * serves.
  */
 import type { GroupId } from '@gladespool/coordination';
 import { updatedPromotionMs, RecordPhase } from '@gladespool/coordination';
 import type { GatewayBoard } from './board.js';
 import { BoardSection } from './board.js';
 
-/** Assumed time of a promotion before one was seen, milliseconds: some hundred are usual. */
+/** Assumed duration of a promotion before one was observed, milliseconds; several hundred are usual. */
 const FIRST_PROMOTION_MS = 700;
 
 interface SeenClaim {
@@ -15,13 +15,13 @@
   readonly at: number;
 }
 
-/** Pace of the promotions that one host has seen. */
+/** Claims and promotions that one host has observed. */
 export class PromotionTracker {
-  /** Usual time from a claim to the next primary, milliseconds. */
+  /** Expected time from a claim until the next primary serves, milliseconds. */
   expectedPromotionMs = FIRST_PROMOTION_MS;
   private readonly claims = new Map<GroupId, SeenClaim>();
 
-  /** @param startedAt local time at which this host began to look for proofs */
+  /** @param startedAt local time at which this host started to request proofs */
   constructor(
     private readonly board: GatewayBoard,
     readonly startedAt: number,
@@ -31,7 +31,7 @@
     });
   }
 
-  /** When the claim in force of a group was first seen; undefined while its primary serves. */
+  /** Local time at which the current claim of a group was first seen; undefined while its primary serves. */
   claimedAt(group: GroupId): number | undefined {
     return this.claims.get(group)?.at;
   }
--- a/packages/gateway/src/knowledge/reachability-reports.ts
+++ b/packages/gateway/src/knowledge/reachability-reports.ts
@@ -1,9 +1,9 @@
 /**
- * Which other hosts said that they reach a group's primary, while this host does not.
+ * Other hosts that reported that they reach a group's primary while this host does not.
  */
 import type { GroupId, HostId } from '@gladespool/coordination';
 
-/** Time for which such a statement counts, milliseconds: as long as a usual cut. */
+/** Time for which a report is valid, milliseconds: as long as a usual network partition. */
 const COUNTS_MS = 6000;
 
 interface ReachNote {
@@ -12,23 +12,23 @@
   readonly hosts: readonly HostId[];
 }
 
-/** Notes of one host. */
+/** Reports received by one host, by group. */
 export class ReachabilityReports {
   private readonly notes = new Map<GroupId, ReachNote>();
 
-  /** Notes who reaches the primary of `epoch`. */
+  /** Stores the hosts that reach the primary of `epoch`. */
   put(group: GroupId, epoch: number, hosts: readonly HostId[], now: number): void {
     this.notes.set(group, { epoch, hosts, at: now });
   }
 
-  /** Hosts that reach the primary of `epoch`, in the order in which they are to be asked. */
+  /** Hosts that reach the primary of `epoch`, in the order in which they are to be tried. */
   hostsReaching(group: GroupId, epoch: number | undefined, now: number): readonly HostId[] {
     const note = this.notes.get(group);
     if (note === undefined || note.epoch !== epoch || now - note.at > COUNTS_MS) return [];
     return note.hosts;
   }
 
-  /** Takes a host out that did not help. */
+  /** Removes a host whose report turned out to be of no use. */
   remove(group: GroupId, host: HostId): void {
     const note = this.notes.get(group);
     if (note === undefined) return;
--- a/packages/gateway/src/knowledge/relay-order.ts
+++ b/packages/gateway/src/knowledge/relay-order.ts
@@ -1,33 +1,35 @@
 /**
- * Who gets the store's news from whom: the first host of one zone reads the store, the first hosts of the
- * other zones ask it, and the rest of each zone asks its first host. The next ones in a zone's order
- * stand in for the first, later ones only if all before them fail. Hosts with wide links come first.
+ * The tree by which changes of the store are relayed: the first host of one zone reads the store, the first hosts of
+ * the other zones request changes from it, and the other hosts of each zone request them from its first host. The next
+ * hosts in a zone's order replace the first one, later ones only if all before them fail. Hosts with high bandwidth
+ * come first.
  *
- * Between regions news cross once: the first host of one zone of each other region asks the reader, and the
- * first hosts of that region's other zones ask it in turn. The reader stands in the region nearest to the store.
+ * Changes cross between two regions once: the first host of one zone of each other region requests them from the
+ * reader, and the first hosts of that region's other zones request them from that host. The reader is in the region
+ * nearest to the store.
  */
 import type { AzId, HostId } from '@gladespool/coordination';
 import { rankCandidates, rankZones, parentZone } from '@gladespool/coordination';
 import type { GatewayBoard, HostEntry } from './board.js';
 
-/** Part of the zone's widest link from which a host counts as one of those with a wide link. */
+/** Share of the highest bandwidth in the zone from which a host counts as one with high bandwidth. */
 const WIDE_SHARE = 0.5;
 
-/** The order as one host sees it. */
+/** The relay tree as computed by one host. */
 export class RelayOrder {
-  /** The listed hosts that the order was made of; it is made anew once the board holds others. */
+  /** The listed hosts from which the order was computed; it is computed again once the board has others. */
   private orderedFrom: ReadonlyMap<HostId, HostEntry> | undefined;
   private orders = new Map<AzId, readonly HostEntry[]>();
   private zones: readonly AzId[] = [];
 
   constructor(private readonly board: GatewayBoard) {}
 
-  /** The zone's hosts, those first that pass news on to the others. */
+  /** The hosts of this host's zone in relay order: the first ones relay to the others. */
   get hosts(): readonly HostEntry[] {
     return this.hostsOf(this.board.az);
   }
 
-  /** The hosts of any zone, those first that pass news on to the others. */
+  /** The hosts of any zone in relay order. */
   hostsOf(az: AzId): readonly HostEntry[] {
     this.refresh();
     const held = this.orders.get(az);
@@ -37,16 +39,15 @@
     return order;
   }
 
-  /** Place of this host's zone among the zones; the store is read in that of place 0. */
+  /** Rank of this host's zone among the zones; the store is read in the zone of rank 0. */
   get zoneRank(): number {
     this.refresh();
     return Math.max(0, this.zones.indexOf(this.board.az));
   }
 
   /**
-   * The host to ask for news: the zone's first host, or on that host the first one of the zone that
-   * passes the news on to this one. Undefined where this host reads the store itself, also while it is
-   * not listed.
+   * The host from which this one requests changes: the first host of its zone, or, on that host, the first one of the
+   * parent zone. Undefined if this host reads the store itself, as it also does while it is not listed.
    */
   get parent(): HostEntry | undefined {
     const { host } = this.board;
@@ -65,7 +66,7 @@
     this.zones = rankZones([...board.hosts.values()], board.topology);
   }
 
-  /** This host's place; 0 also while it is not listed, since nobody reads the store for it then. */
+  /** Rank of this host in its zone; 0 also while it is not listed, since then no other host reads the store for it. */
   get rank(): number {
     return Math.max(
       0,
--- a/packages/gateway/src/knowledge/write-holds.ts
+++ b/packages/gateway/src/knowledge/write-holds.ts
@@ -1,18 +1,18 @@
 /**
- * Short holds of a group's writes before a planned change of its primary, so that writes in flight
- * end before the former primary is given up.
+ * Holds a group's writes for a short time before a planned change of its primary, so that writes in flight complete
+ * before the former primary is given up.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { GroupId } from '@gladespool/coordination';
 import type { GatewayBoard } from './board.js';
 
-/** Time between two looks at what is in flight, milliseconds. */
+/** Poll interval while waiting for writes in flight, milliseconds. */
 const POLL_MS = 5;
 
-/** Time left for the claim that follows a hold, milliseconds: a few calls to the store. */
+/** Time added to a hold for the claim that follows it, milliseconds: a few calls to the store. */
 const CLAIM_MS = 200;
 
-/** Holds of one host. */
+/** Write holds of one host. */
 export class WriteHolds {
   private readonly until = new Map<GroupId, { readonly epoch: number; readonly until: number }>();
   private readonly inFlight = new Map<GroupId, number>();
@@ -26,7 +26,7 @@
     return now < hold.until && this.board.record(group)?.epoch === hold.epoch;
   }
 
-  /** Notes that a write or writing transaction begins; the result notes its end. */
+  /** Counts a write or writing transaction as in flight; returns a function that ends it. */
   trackWrite(group: GroupId): () => void {
     this.inFlight.set(group, (this.inFlight.get(group) ?? 0) + 1);
     let over = false;
@@ -37,7 +37,7 @@
     };
   }
 
-  /** Holds new writes of `epoch`; resolves when none is in flight or the time is over. */
+  /** Holds new writes of `epoch`; resolves when none is in flight or `holdMs` have passed. */
   async hold(group: GroupId, epoch: number, holdMs: number, now: number): Promise<void> {
     const until = now + holdMs;
     this.until.set(group, { epoch, until: until + CLAIM_MS });
--- a/packages/gateway/src/model/catalog.ts
+++ b/packages/gateway/src/model/catalog.ts
@@ -1,5 +1,5 @@
 /**
- * What the operators configure, as the gateway uses it.
+ * The configuration written by operators, as the gateway uses it, and the entries of upstreams.
  */
 import type {
   AzId,
@@ -17,35 +17,35 @@
   readonly database: string;
   readonly group: GroupId;
   readonly consistency: Consistency;
-  /** Oldest data that a read may show, milliseconds; 0 on primary routes. */
+  /** Maximum age of the data that a read may return, milliseconds; 0 on primary routes. */
   readonly maxStalenessMs: number;
-  /** Longest time of one statement, milliseconds. */
+  /** Timeout of one statement, milliseconds. */
   readonly timeoutMs: number;
   /** Time within which an operation is worth most, milliseconds. */
   readonly targetLatencyMs: number;
   /** 0 is the highest. */
   readonly priority: number;
-  /** Whether callers need no key; such a route belongs to no workspace. */
+  /** Whether callers need no API key; such a route belongs to no workspace. */
   readonly isPublic: boolean;
   /** Regions that the data of this route may not leave; missing where it may be anywhere. */
   readonly regions?: readonly RegionId[];
 }
 
-/** How an upstream that is cold is warmed up: by few statements at first. */
+/** Limits the statements that a cold upstream gets while it warms up. */
 export interface WarmupLimit {
-  /** Time for which an upstream is cold after it has started, milliseconds. */
+  /** Time for which an upstream counts as cold after its start, milliseconds. */
   readonly lastsMs: number;
   /** Statements a second that a cold upstream may get, over all hosts. */
   readonly statementsPerS: number;
 }
 
-/** A group's bounds. */
+/** Settings of a group. */
 export interface GroupSettings {
   readonly group: GroupId;
   readonly connectionsPerUpstream: number;
   /** Replicas that must have received a commit before it is confirmed. */
   readonly syncReplicas: number;
-  /** Missing where upstreams need no warming up. */
+  /** Missing where upstreams need no warm-up. */
   readonly warmup?: WarmupLimit;
 }
 
@@ -55,13 +55,13 @@
   readonly routes: ReadonlyMap<string, Route>;
   readonly groups: ReadonlyMap<GroupId, GroupSettings>;
   readonly keys: WorkspaceKeys;
-  /** The workspaces by name; none where no keys are asked for. */
+  /** The workspaces by name; empty where no API keys are required. */
   readonly workspaces: ReadonlyMap<WorkspaceId, Workspace>;
   /** A transaction idle for longer is rolled back, milliseconds. */
   readonly transactionIdleMs: number;
 }
 
-/** Role that an upstream reports of itself. */
+/** Role that an upstream reports for itself. */
 export enum ReportedRole {
   Primary = 'primary',
   Replica = 'replica',
@@ -75,15 +75,15 @@
   readonly port: number;
   readonly az: AzId;
   readonly role: ReportedRole;
-  /** Statements that it runs at once. */
+  /** Number of statements that it runs concurrently. */
   readonly slots: number;
-  /** Whether it is about to leave and takes no new work. */
+  /** Whether it is shutting down and accepts no new work. */
   readonly draining: boolean;
   /**
-   * Start of the upstream, Unix milliseconds by its own clock: one that starts again under its id holds
-   * nothing of before. Missing where it does not tell.
+   * Start time of the upstream, Unix milliseconds by its own clock: an upstream that restarts with the same id has lost
+   * its data. Missing if it does not report one.
    */
   readonly born?: number;
-  /** Time for which it is still cold when it wrote its entry, milliseconds; missing when it is not. */
+  /** Remaining time for which it was cold when it wrote its entry, milliseconds; missing if it was not cold. */
   readonly coldForMs?: number;
 }
--- a/packages/gateway/src/model/outcome.ts
+++ b/packages/gateway/src/model/outcome.ts
@@ -1,10 +1,10 @@
 /**
- * Outcomes of a statement: rows of an upstream, an error that the upstream told, or a refusal.
+ * Outcomes of a statement: rows of an upstream, an error returned by the upstream, or a refusal of the proxy.
  */
 import type { Refusal, RefusalReason, SessionPosition } from '@gladespool/coordination';
 import { refuse, UpstreamFault } from '@gladespool/coordination';
 
-/** Faults that tell that the statement did not run. */
+/** Faults that guarantee that the statement did not run. */
 export const NOT_RUN_FAULTS: ReadonlySet<UpstreamFault> = new Set([
   UpstreamFault.Busy,
   UpstreamFault.Lagging,
@@ -14,7 +14,7 @@
   UpstreamFault.UnknownStatement,
 ]);
 
-/** Success: what the upstream answered, unchanged. */
+/** Success: the answer of the upstream, unchanged. */
 export interface Completed {
   readonly kind: 'completed';
   readonly rows: readonly string[];
@@ -23,7 +23,7 @@
   readonly committed: SessionPosition | undefined;
 }
 
-/** An error told by the upstream; code and text are passed on as they came. */
+/** An error returned by the upstream; code and text are passed on unchanged. */
 export interface Faulted {
   readonly kind: 'faulted';
   readonly fault: UpstreamFault;
@@ -45,7 +45,7 @@
   return { kind: 'refused', refusal: refuse(reason, detail) };
 }
 
-/** Signature of answers that no upstream gave. */
+/** Signature of answers that do not come from an upstream. */
 export const NO_SIGNATURE = '-';
 
 /** Success of a statement that the proxy answers itself. */
--- a/packages/gateway/src/model/statement.ts
+++ b/packages/gateway/src/model/statement.ts
@@ -1,5 +1,5 @@
 /**
- * Statements of a caller's session, whatever protocol brought them.
+ * Statements of a caller's session, independent of the protocol in which they were received.
  */
 
 import type { Access } from '@gladespool/coordination';
@@ -16,7 +16,7 @@
   Deallocate = 'deallocate',
 }
 
-/** What a prepared name stands for. */
+/** A prepared statement, which a session refers to by a name. */
 export interface PreparedStatement {
   readonly access: Access;
   readonly shape: string;
@@ -37,12 +37,12 @@
   | { readonly kind: StatementKind.Execute; readonly name: string; readonly args: string }
   | { readonly kind: StatementKind.Deallocate; readonly name: string };
 
-/** What runs at an upstream: a text passed on unchanged, or a prepared shape with its arguments. */
+/** What is executed at an upstream: a text that is passed on unchanged, or a prepared statement with its arguments. */
 export type Work =
   | { readonly kind: 'text'; readonly access: Access; readonly text: string }
   | { readonly kind: 'prepared'; readonly prepared: PreparedStatement; readonly args: string };
 
-/** Whether the work reads or writes. */
+/** Access mode of the work: whether it reads or writes. */
 export function accessOf(work: Work): Access {
   return work.kind === 'text' ? work.access : work.prepared.access;
 }
--- a/packages/gateway/src/model/upstream-driver.ts
+++ b/packages/gateway/src/model/upstream-driver.ts
@@ -1,5 +1,5 @@
 /**
- * What the gateway asks of a connection to an upstream; a codec for each protocol implements it.
+ * Interface of the driver that connects to upstreams and of its connections; implemented for each protocol.
  */
 import type {
   GladespoolError,
@@ -13,10 +13,10 @@
 import type { UpstreamEntry } from './catalog.js';
 import type { PreparedStatement } from './statement.js';
 
-/** Id of statements that no caller sent. */
+/** Id of statements that the gateway runs itself, without a caller. */
 export const INTERNAL_STATEMENT_ID = '-';
 
-/** One exchange with an upstream. `after` makes it fail unless the log holds that position. */
+/** One command to an upstream. It fails if the upstream's log does not contain the position `after`. */
 export type UpstreamCommand =
   | { readonly kind: 'begin'; readonly readOnly: boolean; readonly after: Position | undefined }
   | { readonly kind: 'commit'; readonly id: string }
@@ -39,11 +39,11 @@
   | { readonly kind: 'discard' }
   | { readonly kind: 'status' };
 
-/** Why no answer came. */
+/** Reason why a command got no answer. */
 export enum ConnectionLoss {
-  /** The connection ended or broke the protocol. */
+  /** The connection was closed, or the upstream violated the protocol. */
   Closed = 'closed',
-  /** The time was over; the connection is closed. */
+  /** The command timed out; the connection is closed. */
   Timeout = 'timeout',
 }
 
@@ -64,7 +64,7 @@
     }
   | { readonly kind: 'lost'; readonly loss: ConnectionLoss };
 
-/** What an upstream tells of itself. */
+/** Status that an upstream reports. */
 export interface UpstreamStatus {
   readonly isPrimary: boolean;
   readonly term: number;
@@ -72,22 +72,22 @@
   readonly received: Position;
 }
 
-/** One connection to an upstream; runs one exchange at a time. */
+/** One connection to an upstream; runs one command at a time. */
 export interface DriverConnection extends PoolConnection {
-  /** Where the upstream stood when it took the connection; undefined if it did not tell. */
+  /** Log position that the upstream reported when it accepted the connection; undefined if it reported none. */
   readonly initialPosition: Position | undefined;
   exchange(command: UpstreamCommand, timeoutMs: number): Promise<UpstreamAnswer>;
 }
 
-/** Opens connections to upstreams and reads their status rows. */
+/** Opens connections to upstreams and decodes their status rows. */
 export interface UpstreamDriver {
-  /** Opens a connection in the name of a workspace, for good; or in that of the host itself. */
+  /** Opens a connection that belongs to a workspace for its whole life, or to the host itself if none is given. */
   connect(
     upstream: UpstreamEntry,
     group: GroupId,
     timeoutMs: number,
     workspace: WorkspaceId | undefined,
   ): Promise<Result<DriverConnection, GladespoolError>>;
-  /** Reads the row that answers a status command. */
+  /** Decodes the row that a status command returns; undefined if it is invalid. */
   readStatus(row: string): UpstreamStatus | undefined;
 }
--- a/packages/gateway/src/peering/peer-calls.ts
+++ b/packages/gateway/src/peering/peer-calls.ts
@@ -1,6 +1,6 @@
 /**
- * Questions to other hosts and their answers, matched by id, each with a time limit. The error of a
- * question tells by its step whether it may have reached the other host.
+ * Requests to other hosts and their replies, matched by id, each with a timeout. The step of an error shows whether the
+ * request may have reached the other host.
  */
 import type { GladespoolError } from '@gladespool/coordination';
 import { gladespoolError, Step } from '@gladespool/coordination';
@@ -12,7 +12,7 @@
 import { err, ok } from 'neverthrow';
 import { PeerLiveness } from './peer-liveness.js';
 
-/** A frame that answers a question. */
+/** A frame that replies to a request. */
 type ReplyFrame = Extract<Frame, { readonly id: number }>;
 
 interface Pending {
@@ -20,23 +20,23 @@
   readonly settle: (result: Result<ReplyFrame, GladespoolError>) => void;
 }
 
-/** Times of a question, beside the longest wait for its answer. */
+/** Optional times of a request. */
 export interface RequestTimes {
-  /** Longest wait for a link to the host, part of the wait for the answer, milliseconds. */
+  /** Timeout for opening a link to the host, included in the timeout of the request, milliseconds. */
   readonly linkTimeoutMs?: number;
-  /** Time for which the other host may hold the answer back until it has news, milliseconds. */
+  /** Time for which the other host may delay the reply until it has changes to report, milliseconds. */
   readonly longPollMs?: number;
 }
 
-/** Longest wait for a link to a host that is tried again, milliseconds: far above three round trips. */
+/** Timeout for opening a link to a host that is tried again, milliseconds: far above three round trips. */
 const REDIAL_TIMEOUT_MS = 1000;
 
-/** Whether the question behind `error` may have reached the other host. */
+/** Whether the request that failed with `error` may have reached the other host. */
 export function mayHaveArrived(error: GladespoolError): boolean {
   return error.step === Step.PeerExchange;
 }
 
-/** Asks other hosts. */
+/** Sends requests and one-way messages to other hosts. */
 export class PeerCalls implements PeerHandler {
   private readonly pending = new Map<number, Pending>();
   private readonly liveness: PeerLiveness;
@@ -49,7 +49,7 @@
     this.liveness = new PeerLiveness(log);
   }
 
-  /** Sends the frame that `build` makes for a fresh id, and waits for the answer. */
+  /** Sends the frame that `build` returns for a new id, and waits for the reply. */
   async request(
     peer: PeerAddress,
     build: (id: number) => Frame,
@@ -66,18 +66,18 @@
     return this.exchange(peer, link.value, id, build(id), Math.max(1, startedAt + timeoutMs - now));
   }
 
-  /** Whether a host answers as far as is known at `now`; one that did not is tried again meanwhile. */
+  /** Whether a host is reachable as far as is known at `now`; an unreachable one is dialed again at intervals. */
   isReachable(peer: PeerAddress, now: number): boolean {
     if (this.liveness.shouldRedial(peer, now)) void this.open(peer, REDIAL_TIMEOUT_MS);
     return this.liveness.isReachable(peer, now);
   }
 
-  /** Looks after links that owe an answer at `now`. */
+  /** Pings or closes links on which replies are overdue at `now`. */
   tick(now: number): void {
     this.liveness.tick(now);
   }
 
-  /** Sends a frame that needs no answer; false when it could not be sent. */
+  /** Sends a frame that needs no reply; resolves to false if it could not be sent. */
   notify(peer: PeerAddress, frame: Frame): Promise<boolean> {
     return this.network.sendTo(peer, frame);
   }
@@ -131,7 +131,7 @@
   }
 }
 
-/** A transaction whose answer came too late has no owner here; the other host must not keep it. */
+/** Rolls back a transaction whose reply came too late: nothing uses it, so the other host must not keep it open. */
 function giveBack(link: PeerLink, frame: ReplyFrame): void {
   if (frame.kind !== FrameKind.ForwardReply || frame.transaction === 0) return;
   link.send({ kind: FrameKind.ForwardRollback, transaction: frame.transaction });
--- a/packages/gateway/src/peering/peer-liveness.ts
+++ b/packages/gateway/src/peering/peer-liveness.ts
@@ -1,30 +1,30 @@
 /**
- * Which other hosts answer on their links. A link may go silent without being closed, and so may a
- * host: a question that stays without any answer is followed by a ping, which answers at once
- * whatever the question waits for. Hosts that don't answer it get no forwarded work meanwhile, and
- * their link is closed in the end, so that what waits on it is settled and a new link is opened.
+ * Liveness of other hosts on their links. A link or a host may stop responding without closing the connection: a
+ * request that gets no frame in return is followed by a ping, which is answered at once even if the request has to wait.
+ * A host that does not answer the ping gets no forwarded work, and finally its link is closed, so that pending requests
+ * on it are settled and a new link is opened.
  */
 import type { Logger } from '@gladespool/observability';
 import type { PeerAddress, PeerLink } from '@gladespool/peers';
 import { FrameKind } from '@gladespool/protocol';
 
-/** Times of the watch. */
+/** Timing of the liveness checks. */
 export interface LivenessRules {
-  /** Time without a frame after a question until the link is pinged, milliseconds. */
+  /** Time without a frame after a request until the link is pinged, milliseconds. */
   readonly pingAfterMs: number;
   /** Time without a frame after the ping until the host gets no new work, milliseconds. */
   readonly suspectAfterMs: number;
   /** Time without a frame after the ping until the link is closed, milliseconds. */
   readonly closeAfterMs: number;
-  /** Time between two tries to reach a host that could not be reached, milliseconds. */
+  /** Time between two attempts to reach an unreachable host, milliseconds. */
   readonly redialMs: number;
 }
 
 /**
- * 100 ms: most statements are answered by then, so that few pings are sent. 100 ms: a host whose
- * processor quota is spent answers in the next tenth of a second. 400 ms: twice that and a pause of
- * garbage collection; closing settles what is under way, writes as uncertain, so it must not be
- * done to a host that is only slow. 300 ms: a process that was killed is back in about a second.
+ * `pingAfterMs`: most statements are answered within 100 ms, so that few pings are sent. `suspectAfterMs`: a host that
+ * has used up its CPU quota answers in the next period of 100 ms. `closeAfterMs`: twice that period and a garbage
+ * collection pause; closing a link ends pending writes with an unknown outcome, so a host that is only slow must not be
+ * closed. `redialMs`: a killed process is back in about a second.
  */
 export const DEFAULT_LIVENESS_RULES: LivenessRules = {
   pingAfterMs: 100,
@@ -33,25 +33,25 @@
   redialMs: 300,
 };
 
-/** Id of pings of this watch, whose answers nobody waits for: questions count from 1. */
+/** Id of pings, whose replies are not awaited; ids of requests start at 1. */
 const PING_ID = 0;
 
-/** What the watch does with a link. */
+/** The part of a link that the liveness checks use. */
 export type MonitoredLink = Pick<PeerLink, 'host' | 'send' | 'close'>;
 
-/** A link on which a question has been sent since the latest frame. */
+/** State of a link on which a request was sent after the last received frame. */
 interface Waiting {
-  /** Local time from which a frame is missed. */
+  /** Local time from which a frame is overdue. */
   readonly dueAt: number;
   pingedAt: number | undefined;
 }
 
-/** What is known of a host that could not be reached. */
+/** State of a host that could not be reached. */
 interface Unreachable {
   dialedAt: number;
 }
 
-/** Watch over the links of one host. */
+/** Checks the liveness of the hosts to which one host has links. */
 export class PeerLiveness {
   private readonly waiting = new Map<MonitoredLink, Waiting>();
   private readonly unreachable = new Map<string, Unreachable>();
@@ -61,25 +61,25 @@
     private readonly rules: LivenessRules = DEFAULT_LIVENESS_RULES,
   ) {}
 
-  /** Notes that a question on `link` should be answered from local time `dueAt` on. */
+  /** Expects a frame on `link` from local time `dueAt` on. */
   expectReply(link: MonitoredLink, dueAt: number): void {
     const held = this.waiting.get(link);
     if (held !== undefined && held.dueAt <= dueAt) return;
     this.waiting.set(link, { dueAt, pingedAt: undefined });
   }
 
-  /** Notes at `now` that no link to a host could be opened. */
+  /** Records at `now` that no link to a host could be opened. */
   noteUnreachable(host: string, now: number): void {
     if (!this.unreachable.has(host)) this.log.info('peer-unreachable', { peer: host });
     this.unreachable.set(host, { dialedAt: now });
   }
 
-  /** Notes that a link to a host is open. */
+  /** Records that a link to a host is open. */
   noteReached(host: string): void {
     if (this.unreachable.delete(host)) this.log.info('peer-reached', { peer: host });
   }
 
-  /** Whether a host may be given work at `now`. */
+  /** Whether work may be forwarded to a host at `now`. */
   isReachable(peer: PeerAddress, now: number): boolean {
     if (this.unreachable.has(peer.host)) return false;
     return ![...this.waiting].some(([link, state]) => {
@@ -87,7 +87,7 @@
     });
   }
 
-  /** Whether a host that could not be reached should be tried again at `now`; notes the try if so. */
+  /** Whether an unreachable host should be dialed again at `now`; if so, the attempt is recorded. */
   shouldRedial(peer: PeerAddress, now: number): boolean {
     const state = this.unreachable.get(peer.host);
     if (state === undefined || now - state.dialedAt < this.rules.redialMs) return false;
@@ -95,7 +95,7 @@
     return true;
   }
 
-  /** Pings links that owe an answer, and closes those that don't answer the ping either. */
+  /** Pings links on which a frame is overdue, and closes those that don't answer the ping either. */
   tick(now: number): void {
     const { pingAfterMs, closeAfterMs } = this.rules;
     for (const [link, state] of [...this.waiting]) {
@@ -112,12 +112,12 @@
     }
   }
 
-  /** Notes a frame of any kind on `link`. */
+  /** Records the arrival of a frame of any kind on `link`. */
   noteFrame(link: MonitoredLink): void {
     this.waiting.delete(link);
   }
 
-  /** Notes that `link` is closed. */
+  /** Records that `link` is closed. */
   noteLost(link: MonitoredLink): void {
     this.waiting.delete(link);
   }
