--- a/packages/gateway/src/control/store/board-publisher.ts
+++ b/packages/gateway/src/control/store/board-publisher.ts
@@ -29,7 +29,7 @@
 
 /** Publishes the documents of the store to the board of one host. */
 export class BoardPublisher {
-  private readonly lapsed: ExpiredUpstreams;
+  private readonly expired: ExpiredUpstreams;
   /** Evacuated zones, with the latest local time at which each was certainly not yet evacuated. */
   private readonly lastInUseAt = new Map<AzId, number>();
   /** A configuration that was not put in force because it is too old; undefined while there is none. */
@@ -45,7 +45,7 @@
     lapse: ExpiryRules,
     private readonly era: EraState,
   ) {
-    this.lapsed = new ExpiredUpstreams(lapse, log);
+    this.expired = new ExpiredUpstreams(lapse, log);
   }
 
   /** Applies a document that replaces `former`. */
@@ -55,10 +55,10 @@
     position: StorePosition,
     now: number,
   ): void {
-    this.noteChange(former, document, position);
+    this.markChanged(former, document, position);
     switch (document.kind) {
       case 'catalog':
-        this.takeCatalog(document.catalog, position);
+        this.applyCatalog(document.catalog, position);
         return;
       case 'primary': {
         const { record } = document;
@@ -72,25 +72,25 @@
         return;
       }
       case 'upstream':
-        this.lapsed.remove(document.entry.id);
+        this.expired.remove(document.entry.id);
         return;
       case 'evacuation':
-        this.evacuate(document.az, position, now);
+        this.startEvacuation(document.az, position, now);
         return;
       default:
     }
   }
 
   /** The last entry of an upstream whose entry has disappeared; undefined when there is none. */
-  lapsedEntry(id: UpstreamId): UpstreamEntry | undefined {
-    return this.lapsed.entry(id);
+  expiredEntry(id: UpstreamId): UpstreamEntry | undefined {
+    return this.expired.entry(id);
   }
 
   /** Applies the removal of a document at `position`. */
   applyRemoval(document: CachedDocument, position: StorePosition, now: number): void {
     const section = SECTIONS.get(document.kind);
     if (section !== undefined) this.outdated.add(section);
-    if (document.kind === 'upstream') this.lapsed.add(document.entry, now);
+    if (document.kind === 'upstream') this.expired.add(document.entry, now);
     if (document.kind === 'evacuation') this.endEvacuation(document.az, position);
   }
 
@@ -107,7 +107,7 @@
     if (former?.kind === 'upstream') this.applyRemoval(former, position, now);
     if (hostOfKey(key) !== undefined) this.outdated.add(BoardSection.Hosts);
     const group = groupOfKey(key);
-    if (group !== undefined) this.doubtRecord(group, position);
+    if (group !== undefined) this.invalidateRecord(group, position);
   }
 
   /** Notes that an unreadable version of a key was removed or replaced by a readable one. */
@@ -124,7 +124,7 @@
   retryCatalog(): void {
     if (this.catalogTooOld === undefined) return;
     const { catalog, position } = this.catalogTooOld;
-    this.takeCatalog(catalog, position);
+    this.applyCatalog(catalog, position);
   }
 
   /** Marks the hosts section as outdated because the store has lost this host's own entry. */
@@ -134,7 +134,7 @@
 
   /** Advances the expiry of upstreams whose entries are missing; `current` while the cache matches the store. */
   updateExpiredUpstreams(current: boolean, now: number): void {
-    if (this.lapsed.updateStages(current, now)) this.outdated.add(BoardSection.Upstreams);
+    if (this.expired.updateStages(current, now)) this.outdated.add(BoardSection.Upstreams);
   }
 
   /**
@@ -145,7 +145,7 @@
     if (this.outdated.has(BoardSection.Upstreams)) this.board.putUpstreams(this.upstreams());
     if (this.outdated.has(BoardSection.Hosts)) {
       const hosts = this.hosts();
-      this.board.putHosts(hosts, this.unknownHosts(hosts));
+      this.board.putHosts(hosts, this.unreadableHosts(hosts));
     }
     if (this.outdated.has(BoardSection.Evacuations)) {
       this.board.putEvacuations(new Map(this.lastInUseAt));
@@ -154,7 +154,7 @@
   }
 
   /** Upstreams are published again where the catalog adds or removes groups, since that changes which are used. */
-  private takeCatalog(catalog: Catalog, position: StorePosition): void {
+  private applyCatalog(catalog: Catalog, position: StorePosition): void {
     // Other hosts already serve callers by a newer one, which may have dropped a key or route of this one.
     const oldest = this.era.minimumCatalogVersion(position);
     if (this.board.catalog === undefined && catalog.version < oldest) {
@@ -169,12 +169,13 @@
       position: formatStorePosition(position),
     });
     const used = this.upstreams();
-    const shown = this.board.upstreams;
-    const isSame = used.size === shown.size && [...used.keys()].every((id) => shown.has(id));
+    const published = this.board.upstreams;
+    const isSame =
+      used.size === published.size && [...used.keys()].every((id) => published.has(id));
     if (!isSame) this.outdated.add(BoardSection.Upstreams);
   }
 
-  private doubtRecord(group: GroupId, position: StorePosition): void {
+  private invalidateRecord(group: GroupId, position: StorePosition): void {
     const record = placeholderRecord(group, this.board.record(group), position);
     if (!this.board.putRecord(record)) return;
     const { epoch, primary } = record;
@@ -190,7 +191,7 @@
    * Starts an evacuation. The request may have been written at any time since this host last had current documents,
    * so a host that starts, or was long without the store, must not assume that it has just been made.
    */
-  private evacuate(az: AzId, position: StorePosition, now: number): void {
+  private startEvacuation(az: AzId, position: StorePosition, now: number): void {
     if (this.lastInUseAt.has(az)) return;
     const inUseAt = Math.min(now, this.board.catalogConfirmedAt);
     this.lastInUseAt.set(az, inUseAt);
@@ -207,7 +208,7 @@
   }
 
   /** Marks the section of the board that a document changes; rewriting the same entry changes none. */
-  private noteChange(
+  private markChanged(
     former: CachedDocument | undefined,
     document: StoreDocument,
     { era }: StorePosition,
@@ -216,7 +217,7 @@
     if (section === undefined) return;
     // A host that registers again in a new era writes the same entry, and counts as listed only from then on.
     const isOfEra = former?.item.position.era === era;
-    if (isOfEra && sameEntry(former, document)) return;
+    if (isOfEra && hasSameEntry(former, document)) return;
     this.outdated.add(section);
   }
 
@@ -225,7 +226,7 @@
     const put = (entry: UpstreamEntry): void => {
       if (this.board.isConfigured(entry.group)) upstreams.set(entry.id, entry);
     };
-    for (const entry of this.lapsed.entries) put(entry);
+    for (const entry of this.expired.entries) put(entry);
     for (const document of this.documents.all) {
       if (document.kind === 'upstream') put(document.entry);
     }
@@ -245,7 +246,7 @@
   }
 
   /** Hosts whose entry can't be read and of which no earlier readable entry is known. */
-  private unknownHosts(known: ReadonlyMap<HostId, HostEntry>): ReadonlySet<HostId> {
+  private unreadableHosts(known: ReadonlyMap<HostId, HostEntry>): ReadonlySet<HostId> {
     const listed = this.documents.unreadableKeys.map(hostOfKey);
     return new Set(listed.filter((host) => host !== undefined).filter((host) => !known.has(host)));
   }
@@ -259,7 +260,7 @@
 ]);
 
 /** Whether two documents of one key contain the same host or upstream entry. */
-function sameEntry(a: StoreDocument, b: StoreDocument): boolean {
+function hasSameEntry(a: StoreDocument, b: StoreDocument): boolean {
   if (a.kind === 'host' && b.kind === 'host') return isDeepStrictEqual(a.entry, b.entry);
   if (a.kind === 'upstream' && b.kind === 'upstream') return isDeepStrictEqual(a.entry, b.entry);
   return false;
--- a/packages/gateway/src/control/store/current-era.ts
+++ b/packages/gateway/src/control/store/current-era.ts
@@ -16,7 +16,7 @@
   /** Hosts, with their incarnations, that may know gateway documents that the era has lost. */
   formerHosts: ReadonlyMap<HostId, number> = new Map();
   /** Whether the first documents of the era are still being applied. */
-  private isBeginning = false;
+  private isLoading = false;
 
   constructor(
     private readonly board: GatewayBoard,
@@ -30,7 +30,7 @@
   /** Starts `era`, which follows that of position `former`; called before any document of it is applied. */
   begin(era: number, former: StorePosition, now: number): void {
     this.since = now;
-    this.isBeginning = true;
+    this.isLoading = true;
     this.formerHosts = this.listedProcesses();
     if (former.revision === 0) return;
     this.log.warn('store-came-back-older', { era, former: formatStorePosition(former) });
@@ -39,8 +39,8 @@
 
   /** Ends the initial load of the era, and adds the hosts that it lists: they may know lost documents as well. */
   markLoaded(): void {
-    if (!this.isBeginning) return;
-    this.isBeginning = false;
+    if (!this.isLoading) return;
+    this.isLoading = false;
     this.formerHosts = new Map([...this.listedProcesses(), ...this.formerHosts]);
   }
 
--- a/packages/gateway/src/control/store/document-cache.ts
+++ b/packages/gateway/src/control/store/document-cache.ts
@@ -38,13 +38,13 @@
   readonly recordEras = new EraCounts();
   /** Number of all readable documents by era. */
   readonly eras = new EraCounts();
-  private readonly held = new Map<string, CachedDocument>();
+  private readonly documents = new Map<string, CachedDocument>();
   /** Newest versions that can't be decoded; the last readable one stays cached, except an upstream's. */
   private readonly unreadable = new Map<string, StoreItem>();
 
   /** All readable documents. */
   get all(): readonly CachedDocument[] {
-    return [...this.held.values()];
+    return [...this.documents.values()];
   }
 
   /** The items of all documents, including those that can't be decoded. */
@@ -54,7 +54,7 @@
 
   /** All keys, readable or not. */
   get keys(): readonly string[] {
-    return [...new Set([...this.held.keys(), ...this.unreadable.keys()])];
+    return [...new Set([...this.documents.keys(), ...this.unreadable.keys()])];
   }
 
   /** Keys whose newest version can't be decoded. */
@@ -63,12 +63,12 @@
   }
 
   get(key: string): CachedDocument | undefined {
-    return this.held.get(key);
+    return this.documents.get(key);
   }
 
   /** Stores a document, replacing the previous one of the key. */
   put(document: StoreDocument, item: StoreItem): void {
-    this.exchange(item.key, { ...document, item });
+    this.replaceEntry(item.key, { ...document, item });
     this.unreadable.delete(item.key);
     this.notePosition(item.key, item.position);
   }
@@ -87,21 +87,21 @@
 
   /** Drops the last readable document of a key but keeps its unreadable version. */
   discard(key: string): void {
-    this.exchange(key, undefined);
+    this.replaceEntry(key, undefined);
   }
 
   /** Removes a key that was deleted at `position`; returns its cached document. */
   remove(key: string, position: StorePosition): CachedDocument | undefined {
-    const held = this.held.get(key);
-    this.exchange(key, undefined);
+    const removed = this.documents.get(key);
+    this.replaceEntry(key, undefined);
     this.unreadable.delete(key);
     this.notePosition(key, position);
-    return held;
+    return removed;
   }
 
   /** Position of a key's latest version, readable or not; undefined if the key is not cached. */
   positionOf(key: string): StorePosition | undefined {
-    return (this.unreadable.get(key) ?? this.held.get(key)?.item)?.position;
+    return (this.unreadable.get(key) ?? this.documents.get(key)?.item)?.position;
   }
 
   /**
@@ -109,7 +109,7 @@
    * does not count, because readers of the store do not see it.
    */
   wasListed(host: string, incarnation: number, position: StorePosition): boolean {
-    const held = this.held.get(hostKey(host));
+    const held = this.documents.get(hostKey(host));
     if (held?.kind !== 'host' || held.entry.incarnation !== incarnation) return false;
     const { position: listedAt } = held.item;
     return listedAt.era === position.era && !isLater(listedAt, position);
@@ -120,12 +120,12 @@
     this.foreignNewest = laterOf(this.foreignNewest, position);
   }
 
-  private exchange(key: string, next: CachedDocument | undefined): void {
-    const former = this.held.get(key);
+  private replaceEntry(key: string, next: CachedDocument | undefined): void {
+    const former = this.documents.get(key);
     this.eras.replace(former?.item.position.era, next?.item.position.era);
     this.recordEras.replace(recordEraOf(former), recordEraOf(next));
-    if (next === undefined) this.held.delete(key);
-    else this.held.set(key, next);
+    if (next === undefined) this.documents.delete(key);
+    else this.documents.set(key, next);
   }
 
   private notePosition(key: string, position: StorePosition): void {
--- a/packages/gateway/src/control/store/document-exchange.ts
+++ b/packages/gateway/src/control/store/document-exchange.ts
@@ -52,7 +52,7 @@
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
-    if (frame.kind === FrameKind.DocumentsRequest) this.answer(link, frame);
+    if (frame.kind === FrameKind.DocumentsRequest) this.reply(link, frame);
   }
 
   onLost(): void {
@@ -61,8 +61,8 @@
 
   private async fetchOnce(peer: PeerAddress, position: StorePosition): Promise<void> {
     const { view, calls, log } = this.options;
-    const ask = (id: number) => ({ kind: FrameKind.DocumentsRequest, id, position }) as const;
-    const result = await calls.request(peer, ask, FETCH_TIMEOUT_MS);
+    const request = (id: number) => ({ kind: FrameKind.DocumentsRequest, id, position }) as const;
+    const result = await calls.request(peer, request, FETCH_TIMEOUT_MS);
     if (result.isErr() || result.value.kind !== FrameKind.DocumentsReply) {
       log.info('documents-not-fetched', {
         from: peer.host,
@@ -80,9 +80,9 @@
     view.applyDelta({ complete, position: upTo, ...documents.value }, performance.now());
   }
 
-  private answer(link: PeerLink, ask: FrameOf<FrameKind.DocumentsRequest>): void {
-    const { complete, upTo, packed } = this.packedSince(ask.position);
-    link.send({ kind: FrameKind.DocumentsReply, id: ask.id, complete, position: upTo, packed });
+  private reply(link: PeerLink, request: FrameOf<FrameKind.DocumentsRequest>): void {
+    const { complete, upTo, packed } = this.packedSince(request.position);
+    link.send({ kind: FrameKind.DocumentsReply, id: request.id, complete, position: upTo, packed });
   }
 
   private packedSince(since: StorePosition): PackedReply {
--- a/packages/gateway/src/control/store/document-reader.ts
+++ b/packages/gateway/src/control/store/document-reader.ts
@@ -12,7 +12,7 @@
 import { OWN_PREFIX, readOwnDocument } from './store-documents.js';
 
 /** Maximum characters of a key or place in a log line; keys are chosen by other writers and can be of any length. */
-const MAX_TOLD_CHARS = 200;
+const MAX_LOGGED_CHARS = 200;
 
 /** Document reader of one host. */
 export class DocumentReader {
@@ -28,7 +28,7 @@
     const reading = this.decode(item);
     const verdict = this.verdictOf(reading);
     this.metrics.storeDocuments.inc({ verdict });
-    this.tell(item, verdict, reading);
+    this.logResult(item, verdict, reading);
     return reading;
   }
 
@@ -39,22 +39,22 @@
   private verdictOf(reading: DocumentReadResult<StoreDocument>): DocumentVerdict {
     if (reading.verdict !== DocumentVerdict.Used) return reading.verdict;
     const { document } = reading;
-    const isKeptAside =
+    const isUnconfigured =
       document.kind === 'upstream' && !this.board.isConfigured(document.entry.group);
-    return isKeptAside ? DocumentVerdict.Unconfigured : DocumentVerdict.Used;
+    return isUnconfigured ? DocumentVerdict.Unconfigured : DocumentVerdict.Used;
   }
 
-  private tell(
+  private logResult(
     { key, position }: StoreItem,
     verdict: DocumentVerdict,
     reading: DocumentReadResult<StoreDocument>,
   ): void {
-    const logged = { key: key.slice(0, MAX_TOLD_CHARS), position: formatStorePosition(position) };
+    const fields = { key: key.slice(0, MAX_LOGGED_CHARS), position: formatStorePosition(position) };
     if (reading.verdict === DocumentVerdict.Unreadable) {
-      const place = reading.place.slice(0, MAX_TOLD_CHARS);
-      this.log.warn('store-document-unreadable', { ...logged, place });
+      const place = reading.place.slice(0, MAX_LOGGED_CHARS);
+      this.log.warn('store-document-unreadable', { ...fields, place });
     }
-    if (verdict === DocumentVerdict.Unrelated) this.log.trace('store-key-ignored', logged);
-    if (verdict === DocumentVerdict.Unconfigured) this.log.info('upstream-unconfigured', logged);
+    if (verdict === DocumentVerdict.Unrelated) this.log.trace('store-key-ignored', fields);
+    if (verdict === DocumentVerdict.Unconfigured) this.log.info('upstream-unconfigured', fields);
   }
 }
--- a/packages/gateway/src/control/store/era-opener.ts
+++ b/packages/gateway/src/control/store/era-opener.ts
@@ -32,13 +32,13 @@
 type Write = StoreChange['writes'][number];
 
 /** Timeout for the replies of the other hosts, milliseconds. */
-const ASK_TIMEOUT_MS = 700;
+const REQUEST_TIMEOUT_MS = 700;
 /** Timeout of one change of the store, milliseconds. */
 const WRITE_TIMEOUT_MS = 1500;
 /** Delay after a failed attempt, milliseconds. */
 const RETRY_MS = 250;
 /** Delay for each zone and each host that precedes this one in the relay order, milliseconds. */
-const PLACE_STEP_MS = 300;
+const RANK_DELAY_MS = 300;
 /** Documents in one change besides the marker: each takes two entries, and the platform's store accepts 32 a change. */
 const MAX_WRITES = 12;
 /** Era markers that are kept: a delayed change checks for the marker of the era after its own. */
@@ -55,7 +55,7 @@
   tick(now: number): void {
     const { board, view, order } = this.options;
     if (this.busy || view.isEraSettled || board.draining || now < this.notBefore) return;
-    const sinceMs = now - view.currentEra.since - (order.zoneRank + order.rank) * PLACE_STEP_MS;
+    const sinceMs = now - view.currentEra.since - (order.zoneRank + order.rank) * RANK_DELAY_MS;
     if (sinceMs < 0) return;
     void this.run(now);
   }
@@ -78,7 +78,7 @@
       replaced: 0,
     };
     if (!mayOpenEra(earliest, now - view.currentEra.since, authority)) return false;
-    const former = await this.askFormer();
+    const former = await this.collectFromFormerHosts();
     const sinceMs = performance.now() - view.currentEra.since;
     if (view.isEraSettled) return true;
     if (view.ownPosition.era !== era || !mayOpenEra(former, sinceMs, authority)) {
@@ -86,20 +86,20 @@
       return false;
     }
     const records = view.lostRecords.map(({ item: { key, value } }) => ({ key, value }));
-    const isDone = await this.writeBack([...this.dutyFor(former), ...records], era);
-    if (isDone) log.info('era-opened', { era, ...former, since_ms: Math.round(sinceMs) });
-    return isDone;
+    const isWritten = await this.writeBack([...this.leaseWrites(former), ...records], era);
+    if (isWritten) log.info('era-opened', { era, ...former, since_ms: Math.round(sinceMs) });
+    return isWritten;
   }
 
   /** Requests the documents of all hosts that were listed in the previous era, and applies them. */
-  private async askFormer(): Promise<PreviousEraHosts> {
+  private async collectFromFormerHosts(): Promise<PreviousEraHosts> {
     const { self, board, view, round } = this.options;
     const { formerHosts } = view.currentEra;
     if (formerHosts.size === 0) return { listed: 0, answered: 0, replaced: 0 };
     const { host, incarnation } = self;
     let answered = formerHosts.get(host) === incarnation ? 1 : 0;
-    const question = { kind: FrameKind.RenewRequest, id: 0, host, incarnation } as const;
-    await round.requestAll(question, ASK_TIMEOUT_MS, (answer) => {
+    const request = { kind: FrameKind.RenewRequest, id: 0, host, incarnation } as const;
+    await round.requestAll(request, REQUEST_TIMEOUT_MS, (answer) => {
       view.applyItems(answer.items, performance.now());
       if (formerHosts.get(answer.host) === answer.incarnation) answered += 1;
     });
@@ -114,15 +114,15 @@
    * The write of the promotion lease for the new era; none if the store already has the newest known lease and no
    * higher fence is needed.
    */
-  private dutyFor(former: PreviousEraHosts): readonly Write[] {
+  private leaseWrites(former: PreviousEraHosts): readonly Write[] {
     const { view } = this.options;
     const known = view.duty?.duty;
     const fence = initialFence(known?.fence ?? 0, former);
-    const isHeard = fence === (known?.fence ?? 0);
-    if (isHeard && !view.isLost(PROMOTION_LEASE_KEY)) return [];
+    const isCurrent = fence === (known?.fence ?? 0);
+    if (isCurrent && !view.isLost(PROMOTION_LEASE_KEY)) return [];
     const renewal = (known?.renewal ?? 0) + 1;
-    const unheard = { holder: UNKNOWN_HOST, incarnation: 0, fence, renewal };
-    return [{ key: PROMOTION_LEASE_KEY, value: JSON.stringify(isHeard ? known : unheard) }];
+    const replacement = { holder: UNKNOWN_HOST, incarnation: 0, fence, renewal };
+    return [{ key: PROMOTION_LEASE_KEY, value: JSON.stringify(isCurrent ? known : replacement) }];
   }
 
   /** Writes documents back, with the marker of the era in the last change. */
@@ -161,12 +161,12 @@
       await this.options.reloadOwnDocuments();
       return false;
     }
-    this.takeWritten(writes, result.value.position);
+    this.applyWritten(writes, result.value.position);
     metrics.documentsRestored.inc(writes.length);
     return true;
   }
 
-  private takeWritten(writes: readonly Write[], position: StorePosition): void {
+  private applyWritten(writes: readonly Write[], position: StorePosition): void {
     const { view, log } = this.options;
     for (const { key } of writes) log.info('document-restored', { key, era: position.era });
     view.applyItems(
--- a/packages/gateway/src/control/store/expired-upstreams.ts
+++ b/packages/gateway/src/control/store/expired-upstreams.ts
@@ -7,7 +7,7 @@
 import type { UpstreamEntry } from '../../model/catalog.js';
 
 /** An upstream whose entry has disappeared. */
-interface Lapse {
+interface Expiry {
   readonly entry: UpstreamEntry;
   /** Local time from which the missing time is counted. */
   since: number;
@@ -17,7 +17,7 @@
 
 /** The upstreams without an entry that one host knows of. */
 export class ExpiredUpstreams {
-  private readonly lapses = new Map<UpstreamId, Lapse>();
+  private readonly expiries = new Map<UpstreamId, Expiry>();
 
   constructor(
     private readonly rules: ExpiryRules,
@@ -26,25 +26,25 @@
 
   /** Entries of the upstreams that have not expired yet; those past the first stage count as draining. */
   get entries(): readonly UpstreamEntry[] {
-    return [...this.lapses.values()].map(({ entry, stage }) =>
+    return [...this.expiries.values()].map(({ entry, stage }) =>
       stage === ExpiryStage.Present ? entry : { ...entry, draining: true },
     );
   }
 
   /** Starts the expiry of an upstream whose entry has disappeared; it stays in use at first. */
   add(entry: UpstreamEntry, now: number): void {
-    this.lapses.set(entry.id, { entry, since: now, stage: ExpiryStage.Present });
+    this.expiries.set(entry.id, { entry, since: now, stage: ExpiryStage.Present });
     this.log.info('upstream-entry-missing', { upstream: entry.id, group: entry.group });
   }
 
   /** The last entry of an upstream whose entry has disappeared; undefined if it has an entry or has expired. */
   entry(id: UpstreamId): UpstreamEntry | undefined {
-    return this.lapses.get(id)?.entry;
+    return this.expiries.get(id)?.entry;
   }
 
   /** Ends the expiry of an upstream that has an entry again, which may be of another upstream with the same id. */
   remove(id: UpstreamId): void {
-    this.lapses.delete(id);
+    this.expiries.delete(id);
   }
 
   /**
@@ -55,25 +55,25 @@
    */
   updateStages(current: boolean, now: number): boolean {
     let changed = false;
-    for (const lapse of this.lapses.values()) {
+    for (const lapse of this.expiries.values()) {
       if (current) changed = this.advance(lapse, now) || changed;
       else lapse.since = now;
     }
     return changed;
   }
 
-  private advance(lapse: Lapse, now: number): boolean {
-    const missingMs = now - lapse.since;
+  private advance(expiry: Expiry, now: number): boolean {
+    const missingMs = now - expiry.since;
     const stage = expiryStage(missingMs, this.rules);
-    if (stage === lapse.stage) return false;
-    lapse.stage = stage;
-    const { id, group } = lapse.entry;
+    if (stage === expiry.stage) return false;
+    expiry.stage = stage;
+    const { id, group } = expiry.entry;
     this.log.info(`upstream-${stage}`, {
       upstream: id,
       group,
       missing_ms: Math.round(missingMs),
     });
-    if (stage === ExpiryStage.Gone) this.lapses.delete(id);
+    if (stage === ExpiryStage.Gone) this.expiries.delete(id);
     return true;
   }
 }
--- a/packages/gateway/src/control/store/guarded-store.ts
+++ b/packages/gateway/src/control/store/guarded-store.ts
@@ -38,7 +38,7 @@
     timeoutMs: number,
   ): Promise<Result<StoreRange, GladespoolError>> {
     const range = await this.store.range(prefix, purpose, timeoutMs);
-    return range.andThen((read) => this.ofPresentEra(read, read.position, Step.StoreRead));
+    return range.andThen((read) => this.requireCurrentEra(read, read.position, Step.StoreRead));
   }
 
   async read(
@@ -47,7 +47,7 @@
     timeoutMs: number,
   ): Promise<Result<StoreEntry, GladespoolError>> {
     const entry = await this.store.read(key, purpose, timeoutMs);
-    return entry.andThen((read) => this.ofPresentEra(read, read.position, Step.StoreRead));
+    return entry.andThen((read) => this.requireCurrentEra(read, read.position, Step.StoreRead));
   }
 
   async watch(
@@ -56,8 +56,10 @@
     waitMs: number,
   ): Promise<Result<WatchResult, GladespoolError>> {
     const result = await this.store.watch(prefix, after, waitMs);
-    return result.andThen((told) =>
-      told.kind === 'events' ? this.ofPresentEra(told, told.position, Step.StoreWatch) : ok(told),
+    return result.andThen((watched) =>
+      watched.kind === 'events'
+        ? this.requireCurrentEra(watched, watched.position, Step.StoreWatch)
+        : ok(watched),
     );
   }
 
@@ -71,17 +73,17 @@
     if (change.conditions.some(({ position }) => position.era !== era)) {
       return ok({ kind: 'conflict' });
     }
-    const result = await this.store.change(beforeNextEra(change, era), purpose, timeoutMs);
+    const result = await this.store.change(unlessNextEraOpened(change, era), purpose, timeoutMs);
     if (result.isErr() || result.value.kind === 'conflict') return result;
     const { position } = result.value;
     if (position.era === era || change.conditions.length === 0) return result;
     this.log.warn('store-change-in-other-era', { era, done_in: position.era });
     return err(
-      gladespoolError(place(Step.StoreWrite), 'change was made in another era of the store'),
+      gladespoolError(errorContext(Step.StoreWrite), 'change was made in another era of the store'),
     );
   }
 
-  private ofPresentEra<Answer>(
+  private requireCurrentEra<Answer>(
     answer: Answer,
     { era }: StorePosition,
     step: Step,
@@ -89,7 +91,9 @@
     const { era: present } = this.known;
     if (era >= present) return ok(answer);
     this.log.warn('store-answer-of-former-era', { step, era, present });
-    return err(gladespoolError(place(step), 'answer belongs to a previous era of the store'));
+    return err(
+      gladespoolError(errorContext(step), 'answer belongs to a previous era of the store'),
+    );
   }
 }
 
@@ -97,11 +101,11 @@
  * Adds the condition that the next era is not opened. A call without an answer may still be executed seconds later,
  * when its conditions can match again because a restored store reuses revisions.
  */
-function beforeNextEra(change: StoreChange, era: number): StoreChange {
+function unlessNextEraOpened(change: StoreChange, era: number): StoreChange {
   const next = { key: eraKey(era + 1), position: { era, revision: 0 } };
   return { ...change, conditions: [...change.conditions, next] };
 }
 
-function place(step: Step): { readonly step: Step; readonly peer: string } {
+function errorContext(step: Step): { readonly step: Step; readonly peer: string } {
   return { step, peer: 'metadata store' };
 }
--- a/packages/gateway/src/control/store/registrar.ts
+++ b/packages/gateway/src/control/store/registrar.ts
@@ -19,7 +19,7 @@
 const MEASURE_TIMEOUT_MS = 300;
 
 /** Minimum timeout for removing the entry, milliseconds: the store mostly answers within it. */
-const LEAST_REMOVAL_MS = 100;
+const MIN_REMOVAL_MS = 100;
 
 /** Delay after a failed attempt, milliseconds: keeps all hosts from calling an unavailable store at each tick. */
 const RETRY_MS = 250;
@@ -107,7 +107,7 @@
     const isUnreadable = this.board.unreadableHosts.has(this.self.host);
     if (!this.isListed && !isUnreadable) return;
     const change = { conditions: [], writes: [], removals: [hostKey(this.self.host)] };
-    const limitMs = Math.max(LEAST_REMOVAL_MS, Math.min(WRITE_TIMEOUT_MS, timeoutMs));
+    const limitMs = Math.max(MIN_REMOVAL_MS, Math.min(WRITE_TIMEOUT_MS, timeoutMs));
     const result = await this.store.change(change, StorePurpose.Register, limitMs);
     if (result.isErr()) this.log.warn('unregistering-failed', { error: result.error.message });
   }
--- a/packages/gateway/src/control/store/stale-versions.ts
+++ b/packages/gateway/src/control/store/stale-versions.ts
@@ -16,61 +16,61 @@
  * Time after which a stale entry of an upstream is used if its owner has not rewritten it, milliseconds. Live upstreams
  * rewrite their entries within 2 s, and the entry of one that stopped is gone after three missed writes.
  */
-const UPSTREAM_MS = 5000;
+const STALE_UPSTREAM_MS = 5000;
 /**
  * Time after which an evacuation is obeyed that had ended but reappears in the store, milliseconds: less than the time
  * within which a new one has to take effect.
  */
-const EVACUATION_BACK_MS = 3000;
+const STALE_EVACUATION_MS = 3000;
 /**
  * Time after which an evacuation ends that the store has lost, milliseconds: operators take some time to write it
  * again, and upstreams of the evacuated zone must get no work until then.
  */
-const EVACUATION_GONE_MS = 15_000;
+const MISSING_EVACUATION_MS = 15_000;
 /** Time after which a host that does not register again is dropped, milliseconds: ten times the lifetime of a proof. */
-const HOST_GONE_MS = 10_000;
+const MISSING_HOST_MS = 10_000;
 
 /** Time for which a stale version in the store is ignored, milliseconds. */
 export function ignoreStaleForMs({ kind }: StoreDocument): number {
-  if (kind === 'upstream') return UPSTREAM_MS;
-  return kind === 'evacuation' ? EVACUATION_BACK_MS : Number.POSITIVE_INFINITY;
+  if (kind === 'upstream') return STALE_UPSTREAM_MS;
+  return kind === 'evacuation' ? STALE_EVACUATION_MS : Number.POSITIVE_INFINITY;
 }
 
 /** Time for which a document that the store has lost is retained, milliseconds. */
 export function retainMissingForMs({ kind }: StoreDocument): number {
-  if (kind === 'host') return HOST_GONE_MS;
-  return kind === 'evacuation' ? EVACUATION_GONE_MS : Number.POSITIVE_INFINITY;
+  if (kind === 'host') return MISSING_HOST_MS;
+  return kind === 'evacuation' ? MISSING_EVACUATION_MS : Number.POSITIVE_INFINITY;
 }
 
 /** The stale versions that one host knows of, by key. */
 export class StaleVersions {
-  private readonly copies = new Map<string, StaleVersion>();
+  private readonly versions = new Map<string, StaleVersion>();
 
   get all(): readonly StaleVersion[] {
-    return [...this.copies.values()];
+    return [...this.versions.values()];
   }
 
   get(key: string): StaleVersion | undefined {
-    return this.copies.get(key);
+    return this.versions.get(key);
   }
 
   /** Position of a key's stale version in the store. */
   positionOf(key: string): StorePosition | undefined {
-    return this.copies.get(key)?.item.position;
+    return this.versions.get(key)?.item.position;
   }
 
   put(document: StoreDocument, item: StoreItem): void {
-    this.copies.set(item.key, { document, item });
+    this.versions.set(item.key, { document, item });
   }
 
   delete(key: string): void {
-    this.copies.delete(key);
+    this.versions.delete(key);
   }
 
   /** Deletes versions of eras before `era`. */
   deleteBefore(era: number): void {
     for (const { item } of this.all) {
-      if (item.position.era < era) this.copies.delete(item.key);
+      if (item.position.era < era) this.versions.delete(item.key);
     }
   }
 }
--- a/packages/gateway/src/control/store/store-documents.ts
+++ b/packages/gateway/src/control/store/store-documents.ts
@@ -19,20 +19,20 @@
 /** Key of the promotion lease. */
 export const PROMOTION_LEASE_KEY = `${OWN_PREFIX}duty`;
 
-const count = z.int().nonnegative();
+const nonNegativeInt = z.int().nonnegative();
 
 const namedSuccessorSchema = z.object({
   id: z.string().transform(upstreamId),
   born: z.int().optional(),
   isPrimary: z.boolean(),
-  term: count,
-  received: z.object({ term: count, offset: count }),
+  term: nonNegativeInt,
+  received: z.object({ term: nonNegativeInt, offset: nonNegativeInt }),
 });
 
 /** A group's record as stored and as sent between hosts. */
 const primaryRecordSchema = z.object({
   group: z.string().transform(groupId),
-  epoch: count,
+  epoch: nonNegativeInt,
   phase: z.enum(RecordPhase),
   primary: z.string().transform(upstreamId),
   born: z.int().optional(),
@@ -45,19 +45,19 @@
   host: z.string().transform(hostId),
   az: z.string().transform(azId),
   address: z.string(),
-  port: count,
-  incarnation: count,
+  port: nonNegativeInt,
+  incarnation: nonNegativeInt,
   linkMbps: z.number().nonnegative().default(0),
   storeRoundTripMs: z.number().nonnegative().optional(),
 });
 
 const promotionLeaseSchema = z.object({
   holder: z.string().transform(hostId),
-  incarnation: count,
+  incarnation: nonNegativeInt,
   /** Increases whenever the holder changes. */
-  fence: count,
+  fence: nonNegativeInt,
   /** Increases with each renewal, so that every renewal is visible as a change. */
-  renewal: count,
+  renewal: nonNegativeInt,
 });
 
 const eraMarkerSchema = z.object({
--- a/packages/gateway/src/control/store/store-follower.ts
+++ b/packages/gateway/src/control/store/store-follower.ts
@@ -40,7 +40,7 @@
 export class StoreFollower {
   private active = false;
   /** Generation of the loop; changes whenever the running loop has to end or start over. */
-  private turn = 0;
+  private generation = 0;
   /** Whether a full read is running; on a slow link it takes longer than several renewals of proofs. */
   private readingAll = false;
   private reachable = true;
@@ -55,8 +55,8 @@
   setActive(active: boolean): void {
     if (active === this.active) return;
     this.active = active;
-    this.turn += 1;
-    if (active) void this.follow(this.turn);
+    this.generation += 1;
+    if (active) void this.follow(this.generation);
   }
 
   /** Whether this host follows the store itself. */
@@ -67,20 +67,20 @@
   /** Reads everything once, without following; after a failure not before the retry delay has passed. */
   async readOnce(): Promise<void> {
     if (this.active || this.readingAll || performance.now() < this.catchUpNotBefore) return;
-    const read = await this.readAll(this.turn);
+    const read = await this.readAll(this.generation);
     if (!read) this.catchUpNotBefore = performance.now() + this.options.rules.retryMs;
   }
 
   /** Reads everything again because the watch has missed a change, unless a full read is already running. */
   resync(): void {
     if (!this.active || this.readingAll) return;
-    this.turn += 1;
-    void this.follow(this.turn);
+    this.generation += 1;
+    void this.follow(this.generation);
   }
 
   private async follow(turn: number): Promise<void> {
     let complete = false;
-    while (this.turn === turn) {
+    while (this.generation === turn) {
       if (!complete) {
         complete = await this.readAll(turn);
         if (!complete) await pause(this.options.rules.retryMs);
@@ -96,20 +96,20 @@
     const range = await store.range('', StorePurpose.Follow, rules.readTimeoutMs);
     this.readingAll = false;
     if (range.isErr()) {
-      if (this.turn === turn) this.noteLost(range.error);
+      if (this.generation === turn) this.noteLost(range.error);
       return false;
     }
     this.noteReached();
     // The result is valid even if the follower was stopped or restarted in the meantime.
     view.replace('', range.value, performance.now());
-    return this.turn === turn;
+    return this.generation === turn;
   }
 
   /** @returns false when everything has to be read again. */
   private async watchOnce(turn: number): Promise<boolean> {
     const { store, view, rules, metrics, log } = this.options;
     const result = await store.watch('', view.position, rules.watchMs);
-    if (this.turn !== turn) return true;
+    if (this.generation !== turn) return true;
     if (result.isErr()) {
       this.noteLost(result.error);
       metrics.retries.inc({ reason: RetryReason.WatchLost });
--- a/packages/gateway/src/control/store/store-view.ts
+++ b/packages/gateway/src/control/store/store-view.ts
@@ -44,16 +44,16 @@
 }
 
 /** Poll interval while waiting for a change to arrive, milliseconds: about a round trip to the store. */
-const WAIT_STEP_MS = 5;
+const POLL_MS = 5;
 /** Age from which the cached documents may be outdated, milliseconds: two failed renewals of the proof. */
 const OUTDATED_AFTER_MS = 1000;
 /** Interval between two reviews of documents that differ from what the store has, milliseconds. */
-const KEPT_REVIEW_MS = 500;
+const RETAINED_REVIEW_MS = 500;
 /**
  * Time for which a starting host waits for a configuration that others knew and the store has lost, milliseconds. It is
  * limited because all hosts that knew it may be gone.
  */
-const CATALOG_MS = 15_000;
+const CATALOG_WAIT_MS = 15_000;
 
 /** Dependencies of the view. */
 export interface StoreViewOptions {
@@ -76,18 +76,18 @@
   duty: HeldPromotionLease | undefined;
   readonly currentEra: CurrentEra;
   private currentAt = Number.NEGATIVE_INFINITY;
-  private hostGoneAt: number;
-  private ownKnown = STORE_START;
+  private hostRemovedAt: number;
+  private ownCompleteTo = STORE_START;
   /** Local time from which the retention of documents that differ from the store is counted. */
-  private keptSince: number;
+  private retainedSince: number;
   /** Local time of the next review of these documents. */
-  private reviewNotBefore = Number.NEGATIVE_INFINITY;
+  private nextReviewAt = Number.NEGATIVE_INFINITY;
   /** Whether this host no longer waits for a newer configuration than the one in the store. */
-  private takesAnyCatalog = false;
-  private readonly held = new DocumentCache();
-  private readonly copies = new StaleVersions();
-  private readonly removed = new Tombstones();
-  private readonly deltas = new DeltaBuilder(this.held, this.copies, this.removed);
+  private acceptsAnyCatalog = false;
+  private readonly cache = new DocumentCache();
+  private readonly stale = new StaleVersions();
+  private readonly tombstones = new Tombstones();
+  private readonly deltas = new DeltaBuilder(this.cache, this.stale, this.tombstones);
   private readonly publisher: BoardPublisher;
   private readonly board: GatewayBoard;
   private readonly reader: DocumentReader;
@@ -98,13 +98,13 @@
     this.board = board;
     this.reader = reader;
     this.log = log;
-    this.publisher = new BoardPublisher(board, this.held, log, lapse, {
+    this.publisher = new BoardPublisher(board, this.cache, log, lapse, {
       isMissing: (key) => this.isMissing(key),
-      minimumCatalogVersion: (position) => this.oldestCatalog(position),
+      minimumCatalogVersion: (position) => this.minimumCatalogVersion(position),
     });
-    this.hostGoneAt = startedAt;
+    this.hostRemovedAt = startedAt;
     this.currentEra = new CurrentEra(board, metrics, log, startedAt);
-    this.keptSince = startedAt;
+    this.retainedSince = startedAt;
   }
 
   /** Whether everything was read once. */
@@ -125,23 +125,23 @@
 
   /** Whether the gateway's own documents in the store are complete, so that a read of them is a valid proof. */
   get isEraSettled(): boolean {
-    return this.isEraOpened && !this.held.recordEras.hasBefore(this.ownPosition.era);
+    return this.isEraOpened && !this.cache.recordEras.hasBefore(this.ownPosition.era);
   }
 
   /** The records that are missing from the current era of the store, or are older there. */
   get lostRecords(): readonly CachedRecord[] {
-    return this.held.all.filter(isRecord).filter(({ item }) => this.isLost(item.key));
+    return this.cache.all.filter(isRecord).filter(({ item }) => this.isLost(item.key));
   }
 
   /** Whether one of the gateway's own documents is missing from the current era of the store, or is older there. */
   isLost(key: string): boolean {
-    const heldAt = this.held.positionOf(key);
-    return heldAt !== undefined && heldAt.era < this.ownPosition.era;
+    const cachedAt = this.cache.positionOf(key);
+    return cachedAt !== undefined && cachedAt.era < this.ownPosition.era;
   }
 
   /** Whether a key is cached. */
   has(key: string): boolean {
-    return this.held.positionOf(key) !== undefined;
+    return this.cache.positionOf(key) !== undefined;
   }
 
   /** Whether this host still waits for a configuration that other hosts knew before the current era. */
@@ -151,12 +151,12 @@
 
   /** Position of the latest change that this view knows of. */
   get newest(): StorePosition {
-    return this.held.newest;
+    return this.cache.newest;
   }
 
   /** Position of the latest change of a document that was not written by the gateway. */
   get documentsPosition(): StorePosition {
-    return this.held.foreignNewest;
+    return this.cache.foreignNewest;
   }
 
   /** Latest local time at which the cached documents were known to match the store; -Infinity before the first one. */
@@ -177,48 +177,48 @@
 
   /** Latest local time at which a host may have been removed from the list, as far as this view knows. */
   get lastHostRemovalAt(): number {
-    return this.hostGoneAt;
+    return this.hostRemovedAt;
   }
 
   /** Position of the store up to which this view has all of the gateway's own documents. */
   get ownPosition(): StorePosition {
-    return laterOf(this.position, this.ownKnown);
+    return laterOf(this.position, this.ownCompleteTo);
   }
 
   /** Whether a host was listed with this incarnation at `position` of the store, and still is. */
   wasListed(host: string, incarnation: number, position: StorePosition): boolean {
-    return this.held.wasListed(host, incarnation, position);
+    return this.cache.wasListed(host, incarnation, position);
   }
 
   /** Waits up to `timeoutMs` until all of the gateway's own documents up to `position` are cached. */
   async waitForOwnDocuments(position: StorePosition, timeoutMs: number): Promise<void> {
     const until = performance.now() + timeoutMs;
     while (isLater(position, this.ownPosition) && performance.now() < until) {
-      await pause(WAIT_STEP_MS);
+      await pause(POLL_MS);
     }
   }
 
   /** Whether this view is complete up to a key's latest change. */
   isCompleteUpTo(key: string): boolean {
-    return !isLater(this.held.positionOf(key) ?? STORE_START, this.position);
+    return !isLater(this.cache.positionOf(key) ?? STORE_START, this.position);
   }
 
   /** The condition that one of the gateway's own keys is unchanged in the store since this view last saw it there. */
   conditionOn(key: string): StoreCondition {
     const { era } = this.ownPosition;
-    const position = this.copies.positionOf(key) ?? this.held.positionOf(key);
+    const position = this.stale.positionOf(key) ?? this.cache.positionOf(key);
     return { key, position: position?.era === era ? position : { era, revision: 0 } };
   }
 
   /** Replaces everything under `prefix` by the result of a read. */
   replace(prefix: string, range: StoreRange, now: number): void {
-    this.noteEra(prefix, range.position, now);
+    this.updateEra(prefix, range.position, now);
     const present = new Set(range.items.map((item) => item.key));
-    for (const key of this.held.keys) {
-      if (key.startsWith(prefix) && !present.has(key)) this.noteMissing(key, range.position, now);
+    for (const key of this.cache.keys) {
+      if (key.startsWith(prefix) && !present.has(key)) this.handleMissing(key, range.position, now);
     }
-    for (const item of ownFirst(range.items)) this.write(item, now);
-    if (prefix === '') this.noteComplete(range.position);
+    for (const item of sortOwnFirst(range.items)) this.applyItem(item, now);
+    if (prefix === '') this.markComplete(range.position);
     if (prefix === OWN_PREFIX) this.markOwnComplete(range.position);
     this.publisher.publish();
     this.currentEra.markLoaded();
@@ -227,7 +227,7 @@
   /** The records of primaries and the promotion lease, as stored. */
   recordItems(): readonly StoreItem[] {
     const isRecordKey = (key: string): boolean => groupOfKey(key) !== undefined;
-    return this.held.items.filter(({ key }) => isRecordKey(key) || key === PROMOTION_LEASE_KEY);
+    return this.cache.items.filter(({ key }) => isRecordKey(key) || key === PROMOTION_LEASE_KEY);
   }
 
   /** Changes of the gateway's own documents after `since`; undefined if they are not all known. */
@@ -255,15 +255,15 @@
 
   /** Applies single items received from other hosts; the position stays, since changes in between may be missing. */
   applyItems(items: readonly StoreItem[], now: number): void {
-    for (const item of items) this.write(item, now);
+    for (const item of items) this.applyItem(item, now);
     this.publisher.publish();
   }
 
   /** Applies changes of the gateway's own documents that another host returned for the requested position. */
   applyOwnChanges(changes: OwnChanges, now: number): void {
-    this.noteEra(OWN_PREFIX, changes.position, now);
-    for (const item of changes.items) this.write(item, now);
-    for (const removal of changes.removed) this.removeOlder(removal, now);
+    this.updateEra(OWN_PREFIX, changes.position, now);
+    for (const item of changes.items) this.applyItem(item, now);
+    for (const removal of changes.removed) this.removeUnlessNewer(removal, now);
     this.markOwnComplete(changes.position);
     this.publisher.publish();
     this.currentEra.markLoaded();
@@ -271,20 +271,20 @@
 
   /** Records that all of the gateway's own documents up to `position` are cached. */
   markOwnComplete(position: StorePosition): void {
-    this.ownKnown = laterOf(this.ownKnown, position);
+    this.ownCompleteTo = laterOf(this.ownCompleteTo, position);
   }
 
   /** Records that up to `position` only the gateway's own documents have changed, as far as those are cached. */
   markOnlyOwnChanged(position: StorePosition): void {
-    const known = isLater(position, this.ownKnown) ? this.ownKnown : position;
+    const known = isLater(position, this.ownCompleteTo) ? this.ownCompleteTo : position;
     this.position = laterOf(this.position, known);
   }
 
   /** Applies changes of the same era that were received from a watch or from another host. */
   applyEvents(events: readonly StoreEvent[], position: StorePosition, now: number): void {
     for (const event of events) {
-      if (event.kind === 'written') this.write(event.item, now);
-      else this.removeOlder(event, now);
+      if (event.kind === 'written') this.applyItem(event.item, now);
+      else this.removeUnlessNewer(event, now);
     }
     this.position = laterOf(this.position, position);
     this.publisher.publish();
@@ -294,32 +294,32 @@
   expireDocuments(now: number): void {
     const current = now - this.currentAt < OUTDATED_AFTER_MS;
     this.publisher.updateExpiredUpstreams(current, now);
-    if (current) this.reviewKept(now);
-    else this.keptSince = now;
+    if (current) this.reviewRetained(now);
+    else this.retainedSince = now;
     this.publisher.publish();
   }
 
   /** Adopts the state of the store for documents that were not written again for long enough in this era. */
-  private reviewKept(now: number): void {
+  private reviewRetained(now: number): void {
     const { era } = this.ownPosition;
-    const isKept = this.copies.all.length > 0 || this.held.eras.hasBefore(era);
-    const isDue = isKept || this.awaitsCatalog;
-    if (!isDue || now < this.reviewNotBefore) return;
-    this.reviewNotBefore = now + KEPT_REVIEW_MS;
-    const keptMs = now - this.keptSince;
-    for (const { document, item } of this.copies.all) {
-      if (keptMs < ignoreStaleForMs(document)) continue;
-      this.log.info('store-copy-taken', { key: item.key, kept_ms: Math.round(keptMs) });
-      this.take(document, this.held.get(item.key), item, now);
+    const hasRetained = this.stale.all.length > 0 || this.cache.eras.hasBefore(era);
+    const isDue = hasRetained || this.awaitsCatalog;
+    if (!isDue || now < this.nextReviewAt) return;
+    this.nextReviewAt = now + RETAINED_REVIEW_MS;
+    const retainedMs = now - this.retainedSince;
+    for (const { document, item } of this.stale.all) {
+      if (retainedMs < ignoreStaleForMs(document)) continue;
+      this.log.info('store-copy-taken', { key: item.key, kept_ms: Math.round(retainedMs) });
+      this.applyDocument(document, this.cache.get(item.key), item, now);
     }
-    if (keptMs >= CATALOG_MS) {
-      this.takesAnyCatalog = true;
+    if (retainedMs >= CATALOG_WAIT_MS) {
+      this.acceptsAnyCatalog = true;
       this.publisher.retryCatalog();
     }
-    for (const document of this.held.all) {
+    for (const document of this.cache.all) {
       const { key } = document.item;
-      if (keptMs < retainMissingForMs(document) || !this.isMissing(key)) continue;
-      this.log.info('kept-document-dropped', { key, kept_ms: Math.round(keptMs) });
+      if (retainedMs < retainMissingForMs(document) || !this.isMissing(key)) continue;
+      this.log.info('kept-document-dropped', { key, kept_ms: Math.round(retainedMs) });
       this.remove({ key, position: this.ownPosition }, now);
     }
   }
@@ -327,54 +327,54 @@
   /** Whether a key is cached that the current era of the store does not contain. */
   private isMissing(key: string): boolean {
     const { era } = key.startsWith(OWN_PREFIX) ? this.ownPosition : this.position;
-    const heldAt = this.held.positionOf(key);
-    return heldAt !== undefined && heldAt.era < era && this.copies.get(key) === undefined;
+    const cachedAt = this.cache.positionOf(key);
+    return cachedAt !== undefined && cachedAt.era < era && this.stale.get(key) === undefined;
   }
 
   /**
    * Lowest configuration version that may be put in force. An opened era's marker gives it; before that it is unknown,
    * so none may.
    */
-  private oldestCatalog(position: StorePosition): number {
+  private minimumCatalogVersion(position: StorePosition): number {
     const { era } = laterOf(position, this.ownPosition);
-    if (era === STORE_START.era || this.takesAnyCatalog) return Number.NEGATIVE_INFINITY;
-    const marker = this.held.get(eraKey(era));
+    if (era === STORE_START.era || this.acceptsAnyCatalog) return Number.NEGATIVE_INFINITY;
+    const marker = this.cache.get(eraKey(era));
     if (marker?.kind !== 'era') return Number.POSITIVE_INFINITY;
     return marker.catalogVersion ?? Number.NEGATIVE_INFINITY;
   }
 
   /** Starts a new era if what was read under `prefix` belongs to one; called before it is applied. */
-  private noteEra(prefix: string, { era }: StorePosition, now: number): void {
-    if (prefix === '' && era > this.position.era) this.keptSince = now;
+  private updateEra(prefix: string, { era }: StorePosition, now: number): void {
+    if (prefix === '' && era > this.position.era) this.retainedSince = now;
     const former = this.ownPosition;
     if (era <= former.era) return;
     this.currentEra.begin(era, former, now);
-    this.copies.deleteBefore(era);
+    this.stale.deleteBefore(era);
   }
 
   /** Handles a key that is missing from a read: it was removed, unless the current era has lost it. */
-  private noteMissing(key: string, position: StorePosition, now: number): void {
-    const heldAt = this.held.positionOf(key);
-    if (heldAt === undefined || isLater(heldAt, position)) return;
-    const kind = this.held.get(key)?.kind;
-    const endsByItself = kind === undefined || kind === 'upstream' || kind === 'era';
-    if (heldAt.era === position.era || endsByItself) this.remove({ key, position }, now);
+  private handleMissing(key: string, position: StorePosition, now: number): void {
+    const cachedAt = this.cache.positionOf(key);
+    if (cachedAt === undefined || isLater(cachedAt, position)) return;
+    const kind = this.cache.get(key)?.kind;
+    const needsNoRetention = kind === undefined || kind === 'upstream' || kind === 'era';
+    if (cachedAt.era === position.era || needsNoRetention) this.remove({ key, position }, now);
     else if (key === hostKey(this.board.host)) this.publisher.markOwnEntryLost();
   }
 
-  private write(item: StoreItem, now: number): void {
+  private applyItem(item: StoreItem, now: number): void {
     if (this.isKnown(item) || this.wasRemovedAfter(item)) return;
-    const former = this.held.get(item.key);
+    const former = this.cache.get(item.key);
     const reading = this.reader.read(item);
     if (reading.verdict === DocumentVerdict.Used) {
-      this.weigh(this.withBirth(reading.document, former), former, item, now);
+      this.applyIfNewer(this.withStartTime(reading.document, former), former, item, now);
     }
-    if (reading.verdict === DocumentVerdict.Unreadable) this.takeUnreadable(item, former, now);
+    if (reading.verdict === DocumentVerdict.Unreadable) this.applyUnreadable(item, former, now);
   }
 
   /** Whether this version of a key, or a later one of the same era, is already known. */
   private isKnown({ key, position }: StoreItem): boolean {
-    const seen = [this.copies.positionOf(key), this.held.positionOf(key)];
+    const seen = [this.stale.positionOf(key), this.cache.positionOf(key)];
     return seen.some((at) => at?.era === position.era && !isLater(position, at));
   }
 
@@ -382,7 +382,7 @@
    * Applies a version of a key unless a newer one is known. Within an era the position decides; a later era may contain
    * versions that had been overwritten before it started.
    */
-  private weigh(
+  private applyIfNewer(
     document: StoreDocument,
     former: CachedDocument | undefined,
     item: StoreItem,
@@ -390,38 +390,39 @@
   ): void {
     const { era } = item.position;
     if (former === undefined) {
-      if (this.isBackFromCopy(document, item)) this.leaveUnused(document, item);
-      else this.take(document, former, item, now);
+      if (this.isRestoredFromCopy(document, item)) this.ignoreStale(document, item);
+      else this.applyDocument(document, former, item, now);
       return;
     }
-    const isOther = era !== former.item.position.era;
-    const isOwnersWord = document.kind === 'upstream' && this.copies.get(item.key) !== undefined;
-    if (isOther && era < former.item.position.era) {
+    const isOtherEra = era !== former.item.position.era;
+    const isRewrittenByOwner =
+      document.kind === 'upstream' && this.stale.get(item.key) !== undefined;
+    if (isOtherEra && era < former.item.position.era) {
       if (!isOlderDocument(former, document)) return;
-      this.take(document, former, item, now);
-      this.copies.put(former, former.item);
-    } else if (isOther && !isOwnersWord && isOlderDocument(document, former)) {
-      this.leaveUnused(document, item);
+      this.applyDocument(document, former, item, now);
+      this.stale.put(former, former.item);
+    } else if (isOtherEra && !isRewrittenByOwner && isOlderDocument(document, former)) {
+      this.ignoreStale(document, item);
     } else {
-      this.take(document, former, item, now);
+      this.applyDocument(document, former, item, now);
     }
   }
 
   /** Whether a removed key reappears only because the store was restored from a copy that still has it. */
-  private isBackFromCopy(document: StoreDocument, { key, position }: StoreItem): boolean {
-    const removedAt = this.removed.positionOf(key);
+  private isRestoredFromCopy(document: StoreDocument, { key, position }: StoreItem): boolean {
+    const removedAt = this.tombstones.positionOf(key);
     if (removedAt === undefined || removedAt.era === position.era) return false;
-    if (this.copies.get(key) !== undefined) return false;
+    if (this.stale.get(key) !== undefined) return false;
     if (document.kind === 'evacuation') return true;
     if (document.kind !== 'upstream') return false;
-    const lapsed = this.publisher.lapsedEntry(document.entry.id);
-    return lapsed === undefined || (lapsed.draining && !document.entry.draining);
+    const expired = this.publisher.expiredEntry(document.entry.id);
+    return expired === undefined || (expired.draining && !document.entry.draining);
   }
 
-  private leaveUnused(document: StoreDocument, item: StoreItem): void {
+  private ignoreStale(document: StoreDocument, item: StoreItem): void {
     const { key, position } = item;
-    const held = this.held.positionOf(key);
-    this.copies.put(document, item);
+    const held = this.cache.positionOf(key);
+    this.stale.put(document, item);
     this.log.info('store-copy-unused', {
       key,
       position: formatStorePosition(position),
@@ -430,38 +431,42 @@
   }
 
   /** Adds the known start time to the entry of an upstream that does not report one. */
-  private withBirth(document: StoreDocument, former: CachedDocument | undefined): StoreDocument {
+  private withStartTime(
+    document: StoreDocument,
+    former: CachedDocument | undefined,
+  ): StoreDocument {
     if (document.kind !== 'upstream') return document;
     const { entry } = document;
-    const known = former?.kind === 'upstream' ? former.entry : this.publisher.lapsedEntry(entry.id);
+    const known =
+      former?.kind === 'upstream' ? former.entry : this.publisher.expiredEntry(entry.id);
     return { ...document, entry: withKnownStartTime(known, entry) };
   }
 
-  private take(
+  private applyDocument(
     document: StoreDocument,
     former: CachedDocument | undefined,
     item: StoreItem,
     now: number,
   ): void {
     const { key, position } = item;
-    if (this.held.isUnreadable(key)) this.publisher.clearUnreadable(key);
-    this.copies.delete(key);
+    if (this.cache.isUnreadable(key)) this.publisher.clearUnreadable(key);
+    this.stale.delete(key);
     // The key alone defines an evacuation; its value may be long, so it is neither kept nor passed on.
-    this.held.put(document, document.kind === 'evacuation' ? { ...item, value: '' } : item);
+    this.cache.put(document, document.kind === 'evacuation' ? { ...item, value: '' } : item);
     if (document.kind === 'era') this.publisher.retryCatalog();
     if (document.kind === 'duty') this.duty = { duty: document.duty, seenAt: now };
     this.publisher.applyDocument(document, former, position, now);
   }
 
-  private takeUnreadable(item: StoreItem, former: CachedDocument | undefined, now: number): void {
+  private applyUnreadable(item: StoreItem, former: CachedDocument | undefined, now: number): void {
     const { key, position } = item;
-    this.held.putUnreadable(item);
-    if (former?.kind === 'upstream') this.held.discard(key);
-    if (key === PROMOTION_LEASE_KEY) this.doubtDuty(position, now);
+    this.cache.putUnreadable(item);
+    if (former?.kind === 'upstream') this.cache.discard(key);
+    if (key === PROMOTION_LEASE_KEY) this.invalidateLease(position, now);
     this.publisher.applyUnreadable(key, former, position, now);
   }
 
-  private doubtDuty(position: StorePosition, now: number): void {
+  private invalidateLease(position: StorePosition, now: number): void {
     const { seenAt, ...duty } = placeholderPromotionLease(this.seenDuty, position, now);
     const renewal = this.duty?.duty.renewal ?? 0;
     this.duty = { duty: { ...duty, renewal }, seenAt };
@@ -469,40 +474,40 @@
 
   /** Whether a key was removed after this version of it was written. */
   private wasRemovedAfter(item: StoreItem): boolean {
-    const removedAt = this.removed.positionOf(item.key);
+    const removedAt = this.tombstones.positionOf(item.key);
     return removedAt !== undefined && isLater(removedAt, item.position);
   }
 
   /** Records a complete read; the single removals before it are then unknown. */
-  private noteComplete(position: StorePosition): void {
+  private markComplete(position: StorePosition): void {
     if (!isLater(position, this.position)) return;
     this.position = position;
-    this.held.markCompleteUpTo(position);
-    this.removed.markCompleteUpTo(position);
+    this.cache.markCompleteUpTo(position);
+    this.tombstones.markCompleteUpTo(position);
   }
 
   /** Removes a key unless it was written or removed after `removal`. */
-  private removeOlder(removal: Tombstone, now: number): void {
+  private removeUnlessNewer(removal: Tombstone, now: number): void {
     const { key, position } = removal;
-    const removedAt = this.removed.positionOf(key) ?? STORE_START;
-    const heldAt = this.held.positionOf(key) ?? STORE_START;
-    if (isLater(position, removedAt) && isLater(position, heldAt)) this.remove(removal, now);
+    const removedAt = this.tombstones.positionOf(key) ?? STORE_START;
+    const cachedAt = this.cache.positionOf(key) ?? STORE_START;
+    if (isLater(position, removedAt) && isLater(position, cachedAt)) this.remove(removal, now);
   }
 
   private remove(removal: Tombstone, now: number): void {
     const { key, position } = removal;
-    const isListing = hostOfKey(key) !== undefined && this.held.positionOf(key) !== undefined;
-    if (isListing) this.hostGoneAt = now;
-    if (this.held.isUnreadable(key)) this.publisher.clearUnreadable(key);
-    const held = this.held.remove(key, position);
-    this.copies.delete(key);
-    this.removed.add(removal);
+    const isHostEntry = hostOfKey(key) !== undefined && this.cache.positionOf(key) !== undefined;
+    if (isHostEntry) this.hostRemovedAt = now;
+    if (this.cache.isUnreadable(key)) this.publisher.clearUnreadable(key);
+    const held = this.cache.remove(key, position);
+    this.stale.delete(key);
+    this.tombstones.add(removal);
     if (held !== undefined) this.publisher.applyRemoval(held, position, now);
   }
 }
 
 /** Sorts the gateway's own documents first: the marker of the era decides whether a configuration is new enough. */
-function ownFirst(items: readonly StoreItem[]): readonly StoreItem[] {
+function sortOwnFirst(items: readonly StoreItem[]): readonly StoreItem[] {
   const isOwn = ({ key }: StoreItem): boolean => key.startsWith(OWN_PREFIX);
   return [...items.filter(isOwn), ...items.filter((item) => !isOwn(item))];
 }
--- a/packages/gateway/src/control/store/tombstones.ts
+++ b/packages/gateway/src/control/store/tombstones.ts
@@ -12,7 +12,7 @@
 }
 
 /** Maximum number of removals that are kept. */
-const MAX_REMOVED = 500;
+const MAX_TOMBSTONES = 500;
 
 /** The latest removals. */
 export class Tombstones {
@@ -40,7 +40,7 @@
   add({ key, position }: Tombstone): void {
     this.positions.delete(key);
     this.positions.set(key, position);
-    if (this.positions.size <= MAX_REMOVED) return;
+    if (this.positions.size <= MAX_TOMBSTONES) return;
     const [oldest] = this.all;
     if (oldest === undefined) return;
     this.positions.delete(oldest.key);
--- a/packages/gateway/src/control/store/view-delta.ts
+++ b/packages/gateway/src/control/store/view-delta.ts
@@ -36,15 +36,15 @@
 /** Builds the deltas that are sent to other hosts. */
 export class DeltaBuilder {
   constructor(
-    private readonly held: DocumentCache,
-    private readonly copies: StaleVersions,
-    private readonly removed: Tombstones,
+    private readonly cache: DocumentCache,
+    private readonly stale: StaleVersions,
+    private readonly tombstones: Tombstones,
   ) {}
 
   /** Changes of the gateway's own documents from `since` to `position`; undefined if removals are not all known. */
   ownChanges(since: StorePosition, position: StorePosition): OwnChanges | undefined {
-    if (!this.removed.coversChangesSince(since)) return undefined;
-    if (!isLater(this.held.ownNewest, since)) return { position, items: [], removed: [] };
+    if (!this.tombstones.coversChangesSince(since)) return undefined;
+    if (!isLater(this.cache.ownNewest, since)) return { position, items: [], removed: [] };
     return {
       position,
       ...this.changes((change) => isLater(change.position, since) && isOwn(change)),
@@ -53,16 +53,19 @@
 
   /** What a host is missing that is complete up to `since`; this host is complete up to `position`. */
   delta(since: StorePosition, position: StorePosition): ViewDelta {
-    if (this.removed.coversChangesSince(since)) {
+    if (this.tombstones.coversChangesSince(since)) {
       const changes = this.changes((change) => isLater(change.position, since));
       return { complete: false, position, ...changes };
     }
-    const unused = this.copies.all.map(({ item }) => item);
-    return { complete: true, position, items: [...this.held.items, ...unused], removed: [] };
+    const unused = this.stale.all.map(({ item }) => item);
+    return { complete: true, position, items: [...this.cache.items, ...unused], removed: [] };
   }
 
-  private changes(isNews: (change: Change) => boolean): Pick<ViewDelta, 'items' | 'removed'> {
-    return { items: this.held.items.filter(isNews), removed: this.removed.all.filter(isNews) };
+  private changes(isIncluded: (change: Change) => boolean): Pick<ViewDelta, 'items' | 'removed'> {
+    return {
+      items: this.cache.items.filter(isIncluded),
+      removed: this.tombstones.all.filter(isIncluded),
+    };
   }
 }
 
--- a/packages/gateway/src/knowledge/allowance-owner-directory.ts
+++ b/packages/gateway/src/knowledge/allowance-owner-directory.ts
@@ -17,7 +17,7 @@
 
 /** The allowance owners as computed by one host. */
 export class AllowanceOwnerDirectory {
-  private keepers: readonly HostId[] = [];
+  private owners: readonly HostId[] = [];
   private readonly byWorkspace = new Map<WorkspaceId, readonly HostId[]>();
   /** Local time since which the set of owners is unchanged. */
   unchangedSince: number;
@@ -28,7 +28,7 @@
   ) {
     this.unchangedSince = startedAt;
     board.onChange(BoardSection.Hosts, () => {
-      this.review(performance.now());
+      this.updateOwners(performance.now());
     });
   }
 
@@ -37,24 +37,24 @@
    * host is listed.
    */
   ownersOf(workspace: WorkspaceId): readonly HostId[] {
-    const held = this.byWorkspace.get(workspace);
-    if (held !== undefined) return held;
-    const [keeper, ...others] = rankCandidates(`allowance|${workspace}`, this.keepers);
-    if (keeper === undefined) return [];
+    const cached = this.byWorkspace.get(workspace);
+    if (cached !== undefined) return cached;
+    const [owner, ...others] = rankCandidates(`allowance|${workspace}`, this.owners);
+    if (owner === undefined) return [];
     const { hosts } = this.board;
-    const zone = hosts.get(keeper)?.az;
-    const standIn = others.find((host) => hosts.get(host)?.az !== zone) ?? others[0];
-    const keepers = standIn === undefined ? [keeper] : [keeper, standIn];
-    this.byWorkspace.set(workspace, keepers);
-    return keepers;
+    const zone = hosts.get(owner)?.az;
+    const substitute = others.find((host) => hosts.get(host)?.az !== zone) ?? others[0];
+    const owners = substitute === undefined ? [owner] : [owner, substitute];
+    this.byWorkspace.set(workspace, owners);
+    return owners;
   }
 
-  private review(now: number): void {
+  private updateOwners(now: number): void {
     const hosts = [...this.board.hosts.keys()];
     const count = Math.max(MIN_OWNERS, Math.ceil(hosts.length / HOSTS_PER_OWNER));
-    const keepers = topCandidates('allowances', hosts, count);
-    if (keepers.join() === this.keepers.join()) return;
-    this.keepers = keepers;
+    const owners = topCandidates('allowances', hosts, count);
+    if (owners.join() === this.owners.join()) return;
+    this.owners = owners;
     this.byWorkspace.clear();
     this.unchangedSince = now;
   }
--- a/packages/gateway/src/knowledge/home-directory.ts
+++ b/packages/gateway/src/knowledge/home-directory.ts
@@ -45,8 +45,8 @@
 
   /** The placement of a group's homes. */
   plan(group: GroupId): HomePlan {
-    const held = this.plans.get(group);
-    if (held !== undefined) return held;
+    const cached = this.plans.get(group);
+    if (cached !== undefined) return cached;
     const plan = this.makePlan(group);
     this.plans.set(group, plan);
     return plan;
@@ -58,13 +58,13 @@
    */
   private makePlan(group: GroupId): HomePlan {
     const { topology } = this.board;
-    const room = this.room(group);
-    const even = planHomes(group, this.zones, room);
+    const capacity = this.room(group);
+    const zonal = planHomes(group, this.zones, capacity);
     const upstreamZones = new Set(this.board.upstreamsOf(group).map((entry) => entry.az));
-    const { isDedicated } = even;
-    if (upstreamZones.size === 0 || !(isDedicated || topology.isMultiRegion)) return even;
-    const usable = isDedicated ? dedicatedConnections(room) : usableConnections(room);
-    const farUsable = isDedicated ? 0 : spareConnections(room);
+    const { isDedicated } = zonal;
+    if (upstreamZones.size === 0 || !(isDedicated || topology.isMultiRegion)) return zonal;
+    const usable = isDedicated ? dedicatedConnections(capacity) : usableConnections(capacity);
+    const farUsable = isDedicated ? 0 : spareConnections(capacity);
     const near = { group, upstreamZones, usable, farUsable, isDedicated };
     return planNearHomes(near, this.zones, topology);
   }
--- a/packages/gateway/src/knowledge/promotion-tracker.ts
+++ b/packages/gateway/src/knowledge/promotion-tracker.ts
@@ -27,7 +27,7 @@
     readonly startedAt: number,
   ) {
     board.onChange(BoardSection.Records, () => {
-      this.review(performance.now());
+      this.updateClaims(performance.now());
     });
   }
 
@@ -36,7 +36,7 @@
     return this.claims.get(group)?.at;
   }
 
-  private review(now: number): void {
+  private updateClaims(now: number): void {
     for (const { group, epoch, phase } of this.board.allRecords) {
       const claim = this.claims.get(group);
       if (phase === RecordPhase.Claimed) {
--- a/packages/gateway/src/knowledge/relay-order.ts
+++ b/packages/gateway/src/knowledge/relay-order.ts
@@ -13,7 +13,7 @@
 import type { GatewayBoard, HostEntry } from './board.js';
 
 /** Share of the highest bandwidth in the zone from which a host counts as one with high bandwidth. */
-const WIDE_SHARE = 0.5;
+const HIGH_BANDWIDTH_SHARE = 0.5;
 
 /** The relay tree as computed by one host. */
 export class RelayOrder {
@@ -32,8 +32,8 @@
   /** The hosts of any zone in relay order. */
   hostsOf(az: AzId): readonly HostEntry[] {
     this.refresh();
-    const held = this.orders.get(az);
-    if (held !== undefined) return held;
+    const cached = this.orders.get(az);
+    if (cached !== undefined) return cached;
     const order = orderOf(az, this.board.hosts);
     this.orders.set(az, order);
     return order;
@@ -54,8 +54,8 @@
     if (!this.board.hosts.has(host)) return undefined;
     const [first] = this.hosts;
     if (first?.host !== host) return first;
-    const asked = parentZone(this.board.az, this.zones, this.board.topology);
-    return asked === undefined ? undefined : this.hostsOf(asked)[0];
+    const relayZone = parentZone(this.board.az, this.zones, this.board.topology);
+    return relayZone === undefined ? undefined : this.hostsOf(relayZone)[0];
   }
 
   private refresh(): void {
@@ -83,6 +83,6 @@
   );
   const entries = ranked.map((host) => hosts.get(host)).filter((entry) => entry !== undefined);
   const widest = Math.max(0, ...entries.map((entry) => entry.linkMbps));
-  const isWide = (entry: HostEntry): boolean => entry.linkMbps >= widest * WIDE_SHARE;
+  const isWide = (entry: HostEntry): boolean => entry.linkMbps >= widest * HIGH_BANDWIDTH_SHARE;
   return [...entries.filter(isWide), ...entries.filter((entry) => !isWide(entry))];
 }
--- a/packages/gateway/src/knowledge/write-holds.ts
+++ b/packages/gateway/src/knowledge/write-holds.ts
@@ -29,10 +29,10 @@
   /** Counts a write or writing transaction as in flight; returns a function that ends it. */
   trackWrite(group: GroupId): () => void {
     this.inFlight.set(group, (this.inFlight.get(group) ?? 0) + 1);
-    let over = false;
+    let ended = false;
     return () => {
-      if (over) return;
-      over = true;
+      if (ended) return;
+      ended = true;
       this.inFlight.set(group, (this.inFlight.get(group) ?? 1) - 1);
     };
   }
--- a/packages/gateway/src/peering/peer-calls.ts
+++ b/packages/gateway/src/peering/peer-calls.ts
@@ -87,14 +87,14 @@
     if (!isReply(frame)) return;
     const waiting = this.pending.get(frame.id);
     if (waiting !== undefined) waiting.settle(ok(frame));
-    else giveBack(link, frame);
+    else rollBackLateTransaction(link, frame);
   }
 
   onLost(link: PeerLink): void {
     this.liveness.noteLost(link);
     for (const waiting of [...this.pending.values()]) {
       if (waiting.link !== link) continue;
-      waiting.settle(err(silent({ host: link.host, address: '', port: 0 }, 'link was lost')));
+      waiting.settle(err(noReplyError({ host: link.host, address: '', port: 0 }, 'link was lost')));
     }
   }
 
@@ -102,11 +102,11 @@
     peer: PeerAddress,
     timeoutMs: number,
   ): Promise<Result<PeerLink, GladespoolError>> {
-    const link = await within(this.network.linkTo(peer), timeoutMs);
+    const link = await withTimeout(this.network.linkTo(peer), timeoutMs);
     const now = performance.now();
     if (link?.isOk() === true) this.liveness.noteReached(peer.host);
     else this.liveness.noteUnreachable(peer.host, now);
-    return link ?? err(errorOf(Step.PeerConnect, peer, 'no link in time'));
+    return link ?? err(peerError(Step.PeerConnect, peer, 'no link in time'));
   }
 
   private exchange(
@@ -118,7 +118,7 @@
   ): Promise<Result<ReplyFrame, GladespoolError>> {
     return new Promise((resolve) => {
       const limit = new TimeLimit(timeoutMs, () => {
-        settle(err(silent(peer, 'no answer in time')));
+        settle(err(noReplyError(peer, 'no answer in time')));
       });
       const settle = (result: Result<ReplyFrame, GladespoolError>): void => {
         limit.clear();
@@ -126,13 +126,13 @@
         resolve(result);
       };
       this.pending.set(id, { link, settle });
-      if (!link.send(frame)) settle(err(errorOf(Step.PeerConnect, peer, 'link was closed')));
+      if (!link.send(frame)) settle(err(peerError(Step.PeerConnect, peer, 'link was closed')));
     });
   }
 }
 
 /** Rolls back a transaction whose reply came too late: nothing uses it, so the other host must not keep it open. */
-function giveBack(link: PeerLink, frame: ReplyFrame): void {
+function rollBackLateTransaction(link: PeerLink, frame: ReplyFrame): void {
   if (frame.kind !== FrameKind.ForwardReply || frame.transaction === 0) return;
   link.send({ kind: FrameKind.ForwardRollback, transaction: frame.transaction });
 }
@@ -141,15 +141,15 @@
   return frame.kind.endsWith('-reply') && 'id' in frame;
 }
 
-function silent(peer: PeerAddress, message: string): GladespoolError {
-  return errorOf(Step.PeerExchange, peer, message);
+function noReplyError(peer: PeerAddress, message: string): GladespoolError {
+  return peerError(Step.PeerExchange, peer, message);
 }
 
-function errorOf(step: Step, peer: PeerAddress, message: string): GladespoolError {
+function peerError(step: Step, peer: PeerAddress, message: string): GladespoolError {
   return gladespoolError({ step, peer: `${peer.host}@${peer.address}:${peer.port}` }, message);
 }
 
-async function within<Value>(
+async function withTimeout<Value>(
   promise: Promise<Value>,
   timeoutMs: number,
 ): Promise<Value | undefined> {
--- a/packages/gateway/src/peering/peer-liveness.ts
+++ b/packages/gateway/src/peering/peer-liveness.ts
@@ -40,7 +40,7 @@
 export type MonitoredLink = Pick<PeerLink, 'host' | 'send' | 'close'>;
 
 /** State of a link on which a request was sent after the last received frame. */
-interface Waiting {
+interface PendingReply {
   /** Local time from which a frame is overdue. */
   readonly dueAt: number;
   pingedAt: number | undefined;
@@ -53,7 +53,7 @@
 
 /** Checks the liveness of the hosts to which one host has links. */
 export class PeerLiveness {
-  private readonly waiting = new Map<MonitoredLink, Waiting>();
+  private readonly pendingReplies = new Map<MonitoredLink, PendingReply>();
   private readonly unreachable = new Map<string, Unreachable>();
 
   constructor(
@@ -63,9 +63,9 @@
 
   /** Expects a frame on `link` from local time `dueAt` on. */
   expectReply(link: MonitoredLink, dueAt: number): void {
-    const held = this.waiting.get(link);
-    if (held !== undefined && held.dueAt <= dueAt) return;
-    this.waiting.set(link, { dueAt, pingedAt: undefined });
+    const pending = this.pendingReplies.get(link);
+    if (pending !== undefined && pending.dueAt <= dueAt) return;
+    this.pendingReplies.set(link, { dueAt, pingedAt: undefined });
   }
 
   /** Records at `now` that no link to a host could be opened. */
@@ -82,7 +82,7 @@
   /** Whether work may be forwarded to a host at `now`. */
   isReachable(peer: PeerAddress, now: number): boolean {
     if (this.unreachable.has(peer.host)) return false;
-    return ![...this.waiting].some(([link, state]) => {
+    return ![...this.pendingReplies].some(([link, state]) => {
       return link.host === peer.host && this.isSuspect(state, now);
     });
   }
@@ -98,7 +98,7 @@
   /** Pings links on which a frame is overdue, and closes those that don't answer the ping either. */
   tick(now: number): void {
     const { pingAfterMs, closeAfterMs } = this.rules;
-    for (const [link, state] of [...this.waiting]) {
+    for (const [link, state] of [...this.pendingReplies]) {
       const { dueAt, pingedAt } = state;
       if (pingedAt === undefined) {
         if (now - dueAt < pingAfterMs) continue;
@@ -114,15 +114,15 @@
 
   /** Records the arrival of a frame of any kind on `link`. */
   noteFrame(link: MonitoredLink): void {
-    this.waiting.delete(link);
+    this.pendingReplies.delete(link);
   }
 
   /** Records that `link` is closed. */
   noteLost(link: MonitoredLink): void {
-    this.waiting.delete(link);
+    this.pendingReplies.delete(link);
   }
 
-  private isSuspect({ pingedAt }: Waiting, now: number): boolean {
+  private isSuspect({ pingedAt }: PendingReply, now: number): boolean {
     return pingedAt !== undefined && now - pingedAt >= this.rules.suspectAfterMs;
   }
 }
