--- a/packages/gateway/tests/fakes/action-world.ts
+++ b/packages/gateway/tests/fakes/action-world.ts
@@ -1,5 +1,5 @@
 /**
- * World of the scenarios in which several hosts act on one group together.
+ * World of the scenarios in which several hosts serve one group.
  */
 import assert from 'node:assert/strict';
 import { setTimeout as pause } from 'node:timers/promises';
@@ -8,23 +8,23 @@
 import type { Outcome } from '../../src/index.js';
 import type { FakeDeployment, FakeHost } from './fake-deployment.js';
 
-/** What the scenarios of hosts in action share. */
+/** State shared by the steps of these scenarios. */
 export interface ActionWorld {
   deployment: FakeDeployment;
   former: UpstreamId;
   lastCountedAt: number;
   /** Outcome of a single read. */
   answer: Outcome;
-  /** The upstream that was first called for. */
+  /** The upstream whose promotion was requested first. */
   firstCalled: UpstreamId | undefined;
   other: FakeHost;
   /** The record that the store has lost. */
   lost: PrimaryRecord;
-  /** Outcomes of writes that go on until the primary has changed, a list for each host. */
+  /** Outcomes of the writes until the primary has changed, one list for each host. */
   writing: readonly Promise<readonly Outcome[]>[];
 }
 
-/** The primary at the beginning. */
+/** The initial primary. */
 export const FORMER = upstreamId('u0');
 
 /** The host at an index. */
@@ -34,17 +34,17 @@
   return found;
 }
 
-/** Ends the primary without a word. */
+/** Makes the initial primary fail silently. */
 export function killPrimary(world: ActionWorld): void {
   const primary = world.deployment.group.upstreams.get(FORMER);
   assert.ok(primary);
   primary.dead = true;
 }
 
-/** Key of its entry in the store. */
+/** Key of the initial primary's entry in the store. */
 export const PRIMARY_KEY = `upstream/${FORMER}`;
 
-/** Writes on a host until the primary is no longer the one at the beginning. */
+/** Writes on a host until the initial primary is replaced. */
 export async function writeUntilChanged(
   world: ActionWorld,
   each: FakeHost,
--- a/packages/gateway/tests/fakes/fake-deployment.ts
+++ b/packages/gateway/tests/fakes/fake-deployment.ts
@@ -49,14 +49,14 @@
 export const DATABASE = 'db1';
 export const GROUP = groupId('g1');
 
-/** Key of the callers; the tests' configuration asks for none. */
+/** API key of the callers; the configuration requires none unless `limit` is set. */
 const KEY = 'k1';
-/** Workspace of that key, where there are any. */
+/** Workspace of that key, if keys are required. */
 export const WORKSPACE = workspaceId('w1');
 
-/** Birth that the first upstream tells at first, Unix milliseconds; each other one is born a little later. */
+/** Start time that the first upstream reports, Unix milliseconds; each other one starts a little later. */
 export const BIRTH = 1_700_000_000_000;
-/** Key of a zone's evacuation but for the zone. */
+/** Prefix of the key of a zone's evacuation. */
 export const EVACUATION_PREFIX = 'evacuate/';
 
 const LOOPBACK = '127.0.0.1';
@@ -81,7 +81,7 @@
   startTimeoutMs: 1000,
 };
 
-/** One host of the deployment with its ways out. */
+/** One host of the deployment with its connections to the store and the upstreams. */
 export interface FakeHost {
   readonly gateway: GatewayHost;
   readonly store: FakeStoreClient;
@@ -96,13 +96,13 @@
   readonly hosts: FakeHost[] = [];
   private readonly network = new LoopbackNetwork();
 
-  /** Limit of the workspace of the callers' key; undefined while no keys are asked for. */
+  /** Limit of the workspace of the callers' key; undefined if no keys are required. */
   limit: WorkspaceLimit | undefined;
 
-  /** Oldest data that reads may show, milliseconds; 0 for reads of the primary. */
+  /** Maximum age of the data that reads may return, milliseconds; 0 for reads of the primary. */
   maxStalenessMs = 0;
 
-  /** Whether upstreams tell their births. */
+  /** Whether upstreams report their start times. */
   tellsBirths = false;
 
   /** Upstreams of the group, in zones z0, z1 and so on. */
@@ -114,7 +114,7 @@
   /** Time for which upstreams of an evacuated zone may be used in part, milliseconds. */
   evacuationMs = 5000;
 
-  /** Where the zones lie. */
+  /** Topology of zones and regions. */
   topology: Topology = SINGLE_REGION;
 
   /** Regions that the data of the route may not leave; undefined where it may be anywhere. */
@@ -123,10 +123,10 @@
   /** The same for the workspace of the callers' key, where there is one. */
   workspaceRegions: readonly RegionId[] | undefined;
 
-  /** Time that hosts of a zone need to read one key of the store, milliseconds; 0 where it is not told. */
+  /** Time that hosts of a zone need to read one key of the store, milliseconds; 0 if it is missing. */
   readonly roundTripsMs = new Map<AzId, number>();
 
-  /** Time between two pings of the host that follows in the list, milliseconds. */
+  /** Interval between two pings of the next host in the list, milliseconds. */
   pingMs = RULES.retirement.pingMs;
 
   /** Starts `count` hosts and waits until each may use the primary. */
@@ -162,7 +162,7 @@
     return outcome;
   }
 
-  /** Waits for a condition. */
+  /** Waits until a condition is true. */
   async until(condition: () => boolean): Promise<void> {
     while (!condition()) await pause(POLL_MS);
   }
@@ -242,7 +242,7 @@
   }
 }
 
-/** Documents of the tests: a fixed catalog, and upstreams and evacuations as they were put. */
+/** Reads the documents of the tests: a fixed catalog, and upstreams and evacuations as they were stored. */
 function readDocument(
   key: string,
   text: string,
--- a/packages/gateway/tests/fakes/fake-documents.ts
+++ b/packages/gateway/tests/fakes/fake-documents.ts
@@ -1,5 +1,5 @@
 /**
- * Documents of others in the tests: upstreams, configurations of group names, and evacuations, as JSON.
+ * Documents of operators and upstreams in the tests, as JSON: upstreams, configurations of group names, evacuations.
  */
 import { azId, groupId } from '@gladespool/coordination';
 import { createLogger, HostMetrics } from '@gladespool/observability';
@@ -30,7 +30,7 @@
   readonly groups: readonly string[];
 }
 
-/** An entry of an upstream with the number of its write, where it tells one. */
+/** An entry of an upstream with the sequence number of its write, if there is one. */
 interface CountedEntry {
   readonly entry: UpstreamEntry;
   readonly sequence?: number;
@@ -52,7 +52,7 @@
   }
 }
 
-/** A reader of one host, with metrics of its own unless they are given. */
+/** Creates the document reader of one host, with its own metrics unless they are given. */
 export function fakeReader(board: GatewayBoard, metrics = new HostMetrics()): DocumentReader {
   return new DocumentReader(board, new FakeDocuments(), metrics, createLogger('test'));
 }
--- a/packages/gateway/tests/fakes/fake-group.ts
+++ b/packages/gateway/tests/fakes/fake-group.ts
@@ -1,6 +1,6 @@
 /**
- * A group of upstreams in memory: one log each, replicas that hold what the primary had when it was
- * lost, promotions with growing terms.
+ * A group of upstreams in memory: one log each, replicas that have received the primary's log, and promotions with
+ * increasing terms.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type {
@@ -33,16 +33,16 @@
   deaf = false;
   term = 1;
   offset = 0;
-  /** Statements that it sheds, from now on. */
+  /** Number of further statements that it sheds. */
   sheds = 0;
-  /** Commits that it has received and its reads don't show yet. */
+  /** Commits that it has received but not applied, so that reads don't show them. */
   unapplied = 0;
-  /** Grows with each start; connections belong to one. */
+  /** Increases with each start; a connection is usable only in the life in which it was opened. */
   life = 1;
 
   constructor(readonly id: UpstreamId) {}
 
-  /** Starts again with nothing of before, but believes in the role that it had; a relay may keep connections. */
+  /** Restarts without data but with its previous role; with a relay in between, connections can stay open. */
   startAnew(closesConnections = true): void {
     if (closesConnections) this.life += 1;
     this.term = 1;
@@ -53,13 +53,13 @@
 /** The upstreams of one group, and the platform that promotes them. */
 export class FakeGroup implements PromotionPort {
   readonly upstreams = new Map<UpstreamId, FakeUpstream>();
-  /** Called when a call for a promotion arrives, before it is carried out or refused. */
+  /** Called when a promotion request arrives, before it is executed or refused. */
   onCall: (req: PromotionRequest) => void = () => undefined;
-  /** Called when a call for a promotion has arrived that is carried out. */
+  /** Called when a promotion request is executed. */
   onPromotion: (req: PromotionRequest) => void = () => undefined;
   /** Called when an upstream sheds a statement. */
   onShed: () => void = () => undefined;
-  /** Calls for promotions that arrived, with the time at which they did. */
+  /** Promotion requests that were executed, with the time of their arrival. */
   readonly promotions: { readonly req: PromotionRequest; readonly at: number }[] = [];
   /** Statements that ran, by upstream. */
   readonly ran: {
@@ -88,12 +88,12 @@
   }
 }
 
-/** One host's connections to a group; some upstreams may be out of its reach. */
+/** Driver for one host's connections to a group; some upstreams may be unreachable. */
 export class FakeDriver implements UpstreamDriver {
   readonly unreachable = new Set<UpstreamId>();
-  /** Upstreams to which connections were asked for. */
+  /** Upstreams to which connections were requested. */
   readonly connected = new Set<UpstreamId>();
-  /** Upstreams that accept new connections and start no session. */
+  /** Upstreams that accept new connections but start no session. */
   readonly unserved = new Set<UpstreamId>();
 
   constructor(private readonly group: FakeGroup) {}
@@ -106,10 +106,12 @@
   ): Promise<Result<DriverConnection, GladespoolError>> {
     this.connected.add(entry.id);
     const upstream = this.group.upstreams.get(entry.id);
-    if (upstream !== undefined && !this.misses(upstream)) {
-      return ok(new FakeWire(this.group, upstream, workspace, () => this.misses(upstream)));
+    if (upstream !== undefined && !this.isUnreachable(upstream)) {
+      return ok(
+        new FakeConnection(this.group, upstream, workspace, () => this.isUnreachable(upstream)),
+      );
     }
-    await pause(Math.min(timeoutMs, SILENCE_MS));
+    await pause(Math.min(timeoutMs, NO_ANSWER_MS));
     const step = this.unserved.has(entry.id) ? Step.UpstreamStart : Step.UpstreamConnect;
     return err(gladespoolError({ step, peer: entry.id }, 'silent'));
   }
@@ -118,14 +120,14 @@
     return JSON.parse(row) as UpstreamStatus;
   }
 
-  private misses(upstream: FakeUpstream): boolean {
+  private isUnreachable(upstream: FakeUpstream): boolean {
     return upstream.dead || this.unreachable.has(upstream.id) || this.unserved.has(upstream.id);
   }
 }
 
-const SILENCE_MS = 50;
+const NO_ANSWER_MS = 50;
 
-class FakeWire implements DriverConnection {
+class FakeConnection implements DriverConnection {
   readonly initialPosition: Position;
   private readonly life: number;
   private closed = false;
@@ -134,7 +136,7 @@
     private readonly group: FakeGroup,
     private readonly upstream: FakeUpstream,
     private readonly workspace: WorkspaceId | undefined,
-    private readonly isMissed: () => boolean,
+    private readonly isUnreachable: () => boolean,
   ) {
     this.initialPosition = this.status().received;
     this.life = upstream.life;
@@ -155,8 +157,8 @@
   async exchange(command: UpstreamCommand, timeoutMs: number): Promise<UpstreamAnswer> {
     await pause(1);
     if (!this.usable) return { kind: 'lost', loss: ConnectionLoss.Closed };
-    if (this.isMissed()) {
-      await pause(Math.min(timeoutMs, SILENCE_MS));
+    if (this.isUnreachable()) {
+      await pause(Math.min(timeoutMs, NO_ANSWER_MS));
       this.closed = true;
       return { kind: 'lost', loss: ConnectionLoss.Timeout };
     }
--- a/packages/gateway/tests/fakes/fake-home.ts
+++ b/packages/gateway/tests/fakes/fake-home.ts
@@ -1,5 +1,5 @@
 /**
- * What the homes of one host work with, made around a board.
+ * Dependencies of the homes of one host, created for a board.
  */
 import {
   DEFAULT_AUTHORITY,
@@ -13,10 +13,10 @@
 import { ReachabilityReports } from '../../src/knowledge/reachability-reports.js';
 import { WriteHolds } from '../../src/knowledge/write-holds.js';
 
-/** Time within which an evacuated zone has to be left, milliseconds. */
+/** Time within which the use of an evacuated zone has to end, milliseconds. */
 export const EVACUATION_MS = 5000;
 
-/** Context of homes whose knowledge is `board`. */
+/** Creates the context of homes that use `board`. */
 export function homeContext(board: GatewayBoard, driver: UpstreamDriver): HomeContext {
   return {
     board,
--- a/packages/gateway/tests/fakes/fake-store.ts
+++ b/packages/gateway/tests/fakes/fake-store.ts
@@ -1,5 +1,5 @@
 /**
- * A metadata store in memory, shared by the hosts of a test, that can be away or lose answers.
+ * A metadata store in memory, shared by the hosts of a test, that can be unavailable or lose answers.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { GladespoolError, StorePosition } from '@gladespool/coordination';
@@ -20,20 +20,20 @@
 const POLL_MS = 2;
 const AWAY = gladespoolError({ step: Step.StoreRead, peer: 'store' }, 'store is away');
 
-/** What the store holds. */
+/** State of the store. */
 export class FakeStore {
-  /** How often it has come back from a copy. */
+  /** Number of times it was restored from a copy. */
   era = 0;
   revision = 1;
   away = false;
   /** Whether it answers reads but refuses every change. */
   readOnly = false;
-  /** Changes that are done but whose answers are lost, from now on. */
+  /** Number of further changes that are made but whose answers are lost. */
   loseAnswers = 0;
   readonly items = new Map<string, StoreItem>();
   events: readonly { readonly revision: number; readonly event: StoreEvent }[] = [];
 
-  /** Comes back from a copy that lacks the last `lost` changes; their revisions are given out again. */
+  /** Restores a copy without the last `lost` changes; their revisions are reused. */
   restore(lost: number): void {
     this.revision -= lost;
     this.era += 1;
@@ -45,7 +45,7 @@
     }
   }
 
-  /** Adds to the history. */
+  /** Adds an event to the history. */
   note(event: StoreEvent): void {
     this.events = [...this.events, { revision: this.revision, event }];
   }
@@ -69,16 +69,16 @@
   }
 }
 
-/** One host's way to the store. */
+/** One host's client of the store. */
 export class FakeStoreClient implements MetadataStore {
   cut = false;
-  /** Reads made so far. */
+  /** Number of reads so far. */
   reads = 0;
   /** Time that a read of everything takes, milliseconds. */
   fullReadMs = 0;
   /** Time that a read of one key takes, milliseconds. */
   roundTripMs = 0;
-  /** Reads of one key that are not answered, from now on. */
+  /** Number of further reads of one key that are not answered. */
   loseReads = 0;
 
   constructor(private readonly store: FakeStore) {}
@@ -92,7 +92,10 @@
     if (prefix === '') await pause(this.fullReadMs, undefined, { ref: false });
     if (this.away) return err(AWAY);
     const items = [...this.store.items.values()].filter((item) => item.key.startsWith(prefix));
-    return ok({ items: items.map((item) => this.ofEra(item)), position: this.store.position });
+    return ok({
+      items: items.map((item) => this.inCurrentEra(item)),
+      position: this.store.position,
+    });
   }
 
   async read(key: string): Promise<Result<StoreEntry, GladespoolError>> {
@@ -104,7 +107,7 @@
     const item = this.store.items.get(key);
     const { era, position } = this.store;
     if (item === undefined) return ok({ item, position: { era, revision: 0 } });
-    return ok({ item: this.ofEra(item), position });
+    return ok({ item: this.inCurrentEra(item), position });
   }
 
   async watch(
@@ -129,8 +132,8 @@
     return ok({ kind: 'events', events, position: this.store.position });
   }
 
-  /** An item as the present era of the store shows it. */
-  private ofEra(item: StoreItem): StoreItem {
+  /** An item with its position in the current era of the store. */
+  private inCurrentEra(item: StoreItem): StoreItem {
     return { ...item, position: { era: this.store.era, revision: item.position.revision } };
   }
 
--- a/packages/gateway/tests/guarded-store.steps.ts
+++ b/packages/gateway/tests/guarded-store.steps.ts
@@ -145,7 +145,7 @@
   });
   const store = new GuardedStore(new FakeStoreClient(world.store), view, log);
   const order = new RelayOrder(board);
-  const calls = { request: unasked, notify: unasked, isReachable: () => false };
+  const calls = { request: unexpectedCall, notify: unexpectedCall, isReachable: () => false };
   const round = new HostRound({ board, order, calls });
   world.view = view;
   world.opener = new EraOpener({
@@ -155,7 +155,7 @@
   });
 }
 
-function unasked(): never {
+function unexpectedCall(): never {
   throw new Error('no other host is asked');
 }
 
@@ -165,7 +165,7 @@
 }
 
 When(
-  'the store comes back in era 1 with the primary of epoch 5, and is opened by others',
+  'the store is restored in era 1 with the primary of epoch 5, and is opened by others',
   async function (this: GuardWorld) {
     this.store.restore(1);
     this.store.put(eraKey(1), {});
--- a/packages/gateway/tests/peer-liveness.feature
+++ b/packages/gateway/tests/peer-liveness.feature
@@ -1,12 +1,12 @@
 Feature: Other hosts that don't answer on their links get no work
 
-  Scenario Outline: A link that owes an answer is pinged, then avoided, then closed
+  Scenario Outline: A link on which a reply is overdue is pinged, then avoided, then closed
     Given a link to host b
     When this happens on it: "<events>"
     Then it was pinged <pings> times and "<state>"
     And at <now> ms host b <verdict> work
 
-    # event = time:what; the watch looks at its links at each tick
+    # Events are written as time:event; the links are checked at each tick.
     Examples:
       | events                                    | pings | state  | now | verdict | why                                     |
       | 0:ask,50:frame,100:tick,200:tick,700:tick | 0     | open   | 700 | gets    | it answers                              |
--- a/packages/gateway/tests/peer-liveness.steps.ts
+++ b/packages/gateway/tests/peer-liveness.steps.ts
@@ -30,7 +30,7 @@
   };
 });
 
-function play(world: LivenessWorld, what: string, now: number): void {
+function handleEvent(world: LivenessWorld, what: string, now: number): void {
   const { liveness, link } = world;
   switch (what) {
     case 'ask':
@@ -59,7 +59,7 @@
 When('this happens on it: {string}', function (this: LivenessWorld, events: string) {
   for (const event of events.split(',')) {
     const [time, what] = event.split(':');
-    play(this, what ?? '', Number(time));
+    handleEvent(this, what ?? '', Number(time));
   }
 });
 
--- a/packages/gateway/tests/silent-link.steps.ts
+++ b/packages/gateway/tests/silent-link.steps.ts
@@ -28,12 +28,12 @@
 const LOOPBACK = '127.0.0.1';
 const TICK_MS = 10;
 const POLL_MS = 5;
-/** Far above what a test takes: what ends sooner was not ended by its time. */
+/** Far above the duration of a test, so that no statement ends by its timeout. */
 const STATEMENT_MS = 600_000;
 const IDLE_MS = 50;
 const COMPLETED: Outcome = { kind: 'completed', rows: [], signature: 's', committed: undefined };
 
-/** Home whose statements complete at once. */
+/** Home whose statements complete immediately, and which counts rollbacks. */
 class CountingExecutor implements Executor, OpenTransaction {
   rolledBack = 0;
 
@@ -82,7 +82,7 @@
   return { route, id: 'r', work, ...session, ...times };
 }
 
-function endOf(outcome: Outcome): string {
+function outcomeName(outcome: Outcome): string {
   return outcome.kind === 'refused' ? outcome.refusal.reason : outcome.kind;
 }
 
@@ -126,7 +126,7 @@
     calls.tick(performance.now());
   }, TICK_MS);
   this.remote = new RemoteExecutor(calls, home);
-  assert.equal(endOf(await this.remote.run(jobOf(Access.Read))), 'completed');
+  assert.equal(outcomeName(await this.remote.run(jobOf(Access.Read))), 'completed');
 });
 
 Given('a transaction that it has begun there', async function (this: LinkWorld) {
@@ -148,16 +148,16 @@
 Then(
   'a read that it forwards ends as {string}, long before its time is over',
   async function (this: LinkWorld, end: string) {
-    assert.equal(endOf(await this.remote.run(jobOf(Access.Read))), end);
+    assert.equal(outcomeName(await this.remote.run(jobOf(Access.Read))), end);
   },
 );
 
 Then('a write that it forwards next completes', async function (this: LinkWorld) {
-  assert.equal(endOf(await this.remote.run(jobOf(Access.Write))), 'completed');
+  assert.equal(outcomeName(await this.remote.run(jobOf(Access.Write))), 'completed');
 });
 
 Then('a write that it forwards ends as {string}', async function (this: LinkWorld, end: string) {
-  assert.equal(endOf(await this.remote.run(jobOf(Access.Write))), end);
+  assert.equal(outcomeName(await this.remote.run(jobOf(Access.Write))), end);
 });
 
 Then('the home rolls the transaction back', async function (this: LinkWorld) {
--- a/packages/gateway/tests/store-away.steps.ts
+++ b/packages/gateway/tests/store-away.steps.ts
@@ -17,7 +17,7 @@
 );
 
 When(
-  'the store is away and host {int} can no longer ask others',
+  'the store is away and host {int} can no longer reach others',
   async function (this: ActionWorld, index: number) {
     this.deployment.store.away = true;
     await host(this, index).gateway.closePeers();
@@ -96,23 +96,23 @@
 );
 
 Then(
-  'it comes to {int} ms in which {int} hosts read the store more than {int} times and the others not at all',
+  'eventually there are {int} ms in which {int} hosts read the store more than {int} times and the others not at all',
   { timeout: 20_000 },
   async function (this: ActionWorld, ms: number, count: number, times: number) {
     const { hosts } = this.deployment;
-    for (let held = false; !held;) {
+    for (let isMet = false; !isMet;) {
       for (const { store } of hosts) store.reads = 0;
       await pause(ms);
       const reads = hosts.map(({ store }) => store.reads);
       const reading = reads.filter((read) => read > times).length;
-      const resting = reads.filter((read) => read === 0).length;
-      held = reading === count && resting === hosts.length - count;
+      const idle = reads.filter((read) => read === 0).length;
+      isMet = reading === count && idle === hosts.length - count;
     }
   },
 );
 
 When(
-  "the relay of host {int}'s zone can no longer be asked by others and does not reach the store",
+  "the relay of host {int}'s zone can no longer be reached by others and does not reach the store",
   async function (this: ActionWorld, index: number) {
     const { board } = host(this, index).gateway;
     const [relay] = new RelayOrder(board).hosts;
@@ -128,7 +128,7 @@
 );
 
 Then(
-  'the other host of that zone comes to write for {int} ms without a refusal',
+  'eventually the other host of that zone writes for {int} ms without a refusal',
   { timeout: 20_000 },
   async function (this: ActionWorld, ms: number) {
     let since = performance.now();
@@ -140,7 +140,7 @@
   },
 );
 
-/** The host whose reads of the store all others live on. */
+/** The host that reads the store and relays its changes to all others. */
 async function readerOf(world: ActionWorld): Promise<FakeHost> {
   const { hosts } = world.deployment;
   const reader = (): FakeHost | undefined =>
@@ -165,8 +165,8 @@
   },
 );
 
-/** Writes on every host but the one that lost the store, until `ms` have passed or one is refused. */
-async function writesFor(world: ActionWorld, ms: number): Promise<boolean> {
+/** Writes on every host except the one without the store, until `ms` have passed or a write is refused. */
+async function canWriteFor(world: ActionWorld, ms: number): Promise<boolean> {
   const others = world.deployment.hosts.filter((each) => each !== world.other);
   const until = performance.now() + ms;
   while (performance.now() < until) {
@@ -183,7 +183,7 @@
   'every other host writes for {int} ms without a refusal',
   { timeout: 20_000 },
   async function (this: ActionWorld, ms: number) {
-    assert.equal(await writesFor(this, ms), true);
+    assert.equal(await canWriteFor(this, ms), true);
   },
 );
 
@@ -191,6 +191,6 @@
   'every other host comes to write for {int} ms without a refusal',
   { timeout: 20_000 },
   async function (this: ActionWorld, ms: number) {
-    for (let held = false; !held;) held = await writesFor(this, ms);
+    for (let isMet = false; !isMet;) isMet = await canWriteFor(this, ms);
   },
 );
--- a/packages/gateway/tests/store-histories.feature
+++ b/packages/gateway/tests/store-histories.feature
@@ -1,12 +1,12 @@
-Feature: Views of a store whose history has gaps and returns
+Feature: Local views of a store whose history has gaps and is rolled back
 
-  Scenario: Reads, watches and other hosts' news in any order, of any era
-    Given random histories of a store that is written, read late, watched, passed on and comes back from copies
-    Then no view ever goes back, and all views end as the store does
+  Scenario: Reads, watches and deltas of other hosts in any order, of any era
+    Given random histories of a store that is written, read late, watched, passed on and restored from copies
+    Then no view ever reverts to older documents, and all views end with the state of the store
 
   Scenario Outline: Which of two versions of a document is the older one
     Given the store's new era shows <copy> in place of <known>
-    Then the host goes on with <used>
+    Then the host uses <used>
 
     Examples:
       | known                    | copy                     | used                     |
@@ -25,10 +25,10 @@
       | record of epoch 3        | nothing                  | record of epoch 3        |
       | evacuation               | nothing                  | evacuation               |
 
-  Scenario Outline: How long a host goes on against the store's word
+  Scenario Outline: How long a host uses a document that differs from the store
     Given the store's new era shows <copy> in place of <known>
     When <ms> ms pass in which the store answers and nobody writes
-    Then the host goes on with <used>
+    Then the host uses <used>
 
     Examples:
       | known                    | copy                      | ms    | used                      |
--- a/packages/gateway/tests/store-histories.steps.ts
+++ b/packages/gateway/tests/store-histories.steps.ts
@@ -27,7 +27,7 @@
 const SEED = 38;
 const RUNS = 400;
 const STEP_MS = 50;
-/** Time after which nothing is kept against the store's word any more, milliseconds. */
+/** Time after which no document that differs from the store is retained any more, milliseconds. */
 const SETTLED_MS = 20_000;
 const GROUP = groupId('g1');
 const UPSTREAM_KEY = `${UPSTREAM_PREFIX}u1`;
@@ -37,7 +37,7 @@
 class ViewedHost {
   readonly board = new GatewayBoard(hostId('h1'), azId('z1'));
   readonly view: StoreView;
-  /** A read that was answered and has not arrived. */
+  /** Result of a read that was answered but has not arrived yet. */
   late: StoreRange | undefined;
   private version = 0;
   private rank = 0;
@@ -55,14 +55,14 @@
   }
 
   read(range: StoreRange, now: number): void {
-    // An answer of an era that is over is not used.
+    // An answer of a previous era is rejected.
     if (range.position.era >= this.view.newest.era) this.view.replace('', range, now);
   }
 
   watch(store: FakeStore, now: number): void {
     const { position } = this.view;
-    const goesOn = store.era === position.era && !isLater(position, store.position);
-    if (!goesOn) {
+    const canContinue = store.era === position.era && !isLater(position, store.position);
+    if (!canContinue) {
       this.read(allOf(store), now);
       return;
     }
@@ -71,12 +71,12 @@
     this.view.applyEvents(events, store.position, now);
   }
 
-  learnFrom(other: ViewedHost, now: number): void {
+  syncFrom(other: ViewedHost, now: number): void {
     if (!isLater(other.view.position, this.view.position)) return;
     this.view.applyDelta(other.view.deltaSince(this.view.position), now);
   }
 
-  assertNothingWentBack(): void {
+  assertNoRegression(): void {
     const version = this.board.catalog?.version ?? 0;
     const record = this.board.record(GROUP);
     const rank = record === undefined ? 0 : recordRank(record);
@@ -118,7 +118,7 @@
   return { holder: 'h1', incarnation: 1, fence, renewal: 1 };
 }
 
-/** One random run: a store, two hosts, and what was written last by owners that write again. */
+/** One random run: a store, two hosts, and the last documents of owners that write them again after a restore. */
 class RandomHistory {
   readonly store = new FakeStore();
   readonly hosts: readonly [ViewedHost, ViewedHost] = [new ViewedHost(), new ViewedHost()];
@@ -136,13 +136,13 @@
   run(steps: readonly number[]): void {
     for (const step of steps) {
       this.now += STEP_MS;
-      this.take(step);
-      for (const host of this.hosts) host.assertNothingWentBack();
+      this.applyStep(step);
+      for (const host of this.hosts) host.assertNoRegression();
     }
     this.settle();
   }
 
-  private take(step: number): void {
+  private applyStep(step: number): void {
     const [one, other] = this.hosts;
     const moves: readonly (() => void)[] = [
       () => {
@@ -187,10 +187,10 @@
         other.watch(this.store, this.now);
       },
       () => {
-        other.learnFrom(one, this.now);
+        other.syncFrom(one, this.now);
       },
       () => {
-        one.learnFrom(other, this.now);
+        one.syncFrom(other, this.now);
       },
     ];
     moves[step % moves.length]?.();
@@ -206,7 +206,7 @@
     if (this.store.items.has(key)) this.store.remove(key);
   }
 
-  /** Owners write again what they had written, and nothing else happens for a while. */
+  /** Lets the owners write their last documents again, and then time pass without other changes. */
   private settle(): void {
     for (const key of [UPSTREAM_KEY, EVACUATION_KEY]) {
       if (!this.owned.has(key) && this.store.items.has(key)) this.store.remove(key);
@@ -214,7 +214,7 @@
     for (const [key, value] of this.owned) this.store.put(key, value);
     for (const host of this.hosts) {
       host.watch(this.store, this.now);
-      letPass(host, this.now, SETTLED_MS);
+      advanceTime(host, this.now, SETTLED_MS);
       this.assertSameAsStore(host);
     }
   }
@@ -229,7 +229,7 @@
   }
 }
 
-function letPass({ view }: ViewedHost, from: number, ms: number): void {
+function advanceTime({ view }: ViewedHost, from: number, ms: number): void {
   for (let now = from; now <= from + ms; now += 2 * STEP_MS) {
     view.markCurrent(now);
     view.expireDocuments(now);
@@ -237,23 +237,26 @@
 }
 
 Given(
-  'random histories of a store that is written, read late, watched, passed on and comes back from copies',
+  'random histories of a store that is written, read late, watched, passed on and restored from copies',
   function () {
-    // The check is the step that follows; the histories are drawn there.
+    // The next step draws the histories and checks them.
   },
 );
 
-Then('no view ever goes back, and all views end as the store does', function () {
-  const steps = fc.array(fc.nat({ max: 1000 }), { maxLength: 40 });
-  fc.assert(
-    fc.property(steps, (drawn) => {
-      new RandomHistory().run(drawn);
-    }),
-    { seed: SEED, numRuns: RUNS },
-  );
-});
+Then(
+  'no view ever reverts to older documents, and all views end with the state of the store',
+  function () {
+    const steps = fc.array(fc.nat({ max: 1000 }), { maxLength: 40 });
+    fc.assert(
+      fc.property(steps, (drawn) => {
+        new RandomHistory().run(drawn);
+      }),
+      { seed: SEED, numRuns: RUNS },
+    );
+  },
+);
 
-/** Key and value that the words of the tables stand for; undefined for nothing. */
+/** Key and value of the document that a table describes; undefined for "nothing". */
 function documentOf(words: string): readonly [string, unknown] | undefined {
   const number = Number(/\d+/.exec(words)?.[0]);
   const [kind] = words.split(/[ ,]/);
@@ -298,11 +301,11 @@
 When(
   '{int} ms pass in which the store answers and nobody writes',
   function (this: HistoriesWorld, ms: number) {
-    letPass(this.host, this.now, ms);
+    advanceTime(this.host, this.now, ms);
   },
 );
 
-Then(/^the host goes on with (.*)$/, function (this: HistoriesWorld, used: string) {
+Then(/^the host uses (.*)$/, function (this: HistoriesWorld, used: string) {
   const { board, view } = this.host;
   const number = Number(/\d+/.exec(used)?.[0]);
   const [kind] = used.split(/[ ,]/);
--- a/packages/gateway/tests/store-restored.steps.ts
+++ b/packages/gateway/tests/store-restored.steps.ts
@@ -11,13 +11,13 @@
 import type { FakeStore } from './fakes/fake-store.js';
 
 const TIMEOUT = { timeout: 20_000 };
-/** Time for which hosts go on with what they hold before the store is lost, milliseconds. */
+/** Time for which hosts serve undisturbed before the store is restored, milliseconds. */
 const SETTLED_MS = 500;
-/** Time for which a host that stood alone is watched, milliseconds; two proofs' lives. */
-const ALONE_MS = 2500;
+/** Time for which a formerly isolated host is observed, milliseconds: two and a half lifetimes of a proof. */
+const OBSERVED_MS = 2500;
 
 When(
-  '{int} changes are made, and the store comes back from a copy without the last {int} changes',
+  '{int} changes are made, and the store is restored from a copy without the last {int} changes',
   TIMEOUT,
   async function (this: ActionWorld, made: number, lost: number) {
     const { store } = this.deployment;
@@ -47,17 +47,17 @@
 Then(
   'the hosts read the store at most {int} times in {int} ms',
   TIMEOUT,
-  async function (this: ActionWorld, most: number, ms: number) {
+  async function (this: ActionWorld, maxReads: number, ms: number) {
     const { hosts } = this.deployment;
     for (const { store } of hosts) store.reads = 0;
     await pause(ms);
     const reads = hosts.reduce((sum, { store }) => sum + store.reads, 0);
-    assert.ok(reads <= most, `${reads} reads`);
+    assert.ok(reads <= maxReads, `${reads} reads`);
   },
 );
 
 When(
-  'the store comes back from a copy without the last {int} changes {int} ms later',
+  'the store is restored from a copy without the last {int} changes {int} ms later',
   TIMEOUT,
   async function (this: ActionWorld, lost: number, ms: number) {
     await pause(ms);
@@ -65,7 +65,7 @@
   },
 );
 
-/** Changes of the store since the first of a key that has more than `versions` of them, that one included. */
+/** Number of changes of the store from the one that follows the first `versions` changes of `key`, inclusive. */
 function changesSince({ events, revision }: FakeStore, key: string, versions: number): number {
   const ofKey = events.filter(({ event }) => keyOf(event) === key);
   const first = ofKey[versions];
@@ -78,7 +78,7 @@
 }
 
 When(
-  'the store comes back from a copy without anything of that change',
+  'the store is restored from a copy without anything of that change',
   function (this: ActionWorld) {
     const { store } = this.deployment;
     this.lost = recordOf(store);
@@ -87,7 +87,7 @@
   },
 );
 
-When("the store comes back from a copy without the hosts' entries", function (this: ActionWorld) {
+When("the store is restored from a copy without the hosts' entries", function (this: ActionWorld) {
   const { store } = this.deployment;
   store.restore(changesSince(store, hostKey('h0'), 0));
   assert.ok(![...store.items.keys()].some((key) => key.startsWith(hostKey(''))));
@@ -114,20 +114,20 @@
   },
 );
 
-async function areSettled({ deployment }: ActionWorld): Promise<void> {
+async function waitUntilSettled({ deployment }: ActionWorld): Promise<void> {
   await deployment.until(() => deployment.hosts.every(({ gateway }) => gateway.isStoreSettled));
 }
 
-Then("every host's documents can be relied on", TIMEOUT, async function (this: ActionWorld) {
-  await areSettled(this);
+Then("every host's view of the store is complete", TIMEOUT, async function (this: ActionWorld) {
+  await waitUntilSettled(this);
 });
 
 Then(
-  "within {int} ms every host's documents can be relied on",
+  "within {int} ms every host's view of the store is complete",
   TIMEOUT,
   async function (this: ActionWorld, ms: number) {
     const begin = performance.now();
-    await areSettled(this);
+    await waitUntilSettled(this);
     assert.ok(performance.now() - begin < ms);
   },
 );
@@ -147,7 +147,7 @@
 });
 
 When(
-  'host {int} stands alone, and the primary dies',
+  'host {int} is isolated, and the primary dies',
   async function (this: ActionWorld, index: number) {
     const alone = host(this, index);
     alone.store.cut = true;
@@ -167,7 +167,7 @@
     former.dead = false;
     const ranBefore = deployment.group.ran.filter(({ upstream }) => upstream === FORMER).length;
     host(this, index).store.cut = false;
-    const until = performance.now() + ALONE_MS;
+    const until = performance.now() + OBSERVED_MS;
     while (performance.now() < until) await deployment.run(host(this, index), 'WRITE x 1');
     const ran = deployment.group.ran.filter(({ upstream }) => upstream === FORMER).length;
     assert.equal(ran, ranBefore);
@@ -222,7 +222,7 @@
 );
 
 Given(
-  'a store that has come back from a copy {int} times',
+  'a store that was restored from a copy {int} times',
   function (this: ActionWorld, era: number) {
     this.deployment = new FakeDeployment();
     this.deployment.store.era = era;
--- a/packages/gateway/tests/store-view.steps.ts
+++ b/packages/gateway/tests/store-view.steps.ts
@@ -30,8 +30,8 @@
 }
 
 const STARTED_AT = 0;
-const SERVES_ON_MS = 1000;
-const NEWS_AT = 100;
+const LEAVING_AFTER_MS = 1000;
+const CHANGED_AT = 100;
 
 function hostEntry(name: string, incarnation = 1): HostEntry {
   const address = '127.0.0.1';
@@ -64,8 +64,8 @@
   holder: 'h1',
 };
 
-/** What a table's words stand for, as events of the revision given. */
-const NEWS: Readonly<Record<string, (revision: number) => readonly StoreEvent[]>> = {
+/** Events at a given revision, by the text that describes them in the tables. */
+const EVENTS: Readonly<Record<string, (revision: number) => readonly StoreEvent[]>> = {
   nothing: () => [],
   'h1 as it was': () => [written(itemOf(hostKey('h1'), hostEntry('h1'), 1))],
   'h1 written again, unchanged': (now) => [written(itemOf(hostKey('h1'), hostEntry('h1'), now))],
@@ -117,7 +117,7 @@
     metrics,
     log: createLogger('test'),
     startedAt: STARTED_AT,
-    lapse: expiryRules(SERVES_ON_MS),
+    lapse: expiryRules(LEAVING_AFTER_MS),
   });
 }
 
@@ -143,15 +143,15 @@
   countChanges(this, BoardSection.Upstreams);
 });
 
-When(/^the store's news bring (.*)$/, function (this: ViewWorld, news: string) {
+When(/^the store reports (.*)$/, function (this: ViewWorld, news: string) {
   this.revision += 1;
-  const events = NEWS[news];
+  const events = EVENTS[news];
   assert.ok(events, `unknown news: ${news}`);
-  this.view.applyEvents(events(this.revision), at(this.revision), NEWS_AT);
+  this.view.applyEvents(events(this.revision), at(this.revision), CHANGED_AT);
 });
 
-When("the store's news are read again", function (this: ViewWorld) {
-  this.view.applyDelta(this.view.deltaSince(STORE_START), NEWS_AT);
+When('all documents are applied again', function (this: ViewWorld) {
+  this.view.applyDelta(this.view.deltaSince(STORE_START), CHANGED_AT);
 });
 
 Then(
@@ -180,9 +180,9 @@
   assert.equal(values.find(({ labels }) => labels.verdict === verdict)?.value, count);
 });
 
-When('the upstreams missing are reviewed {int} ms later', function (this: ViewWorld, ms: number) {
-  this.view.markCurrent(NEWS_AT + ms);
-  this.view.expireDocuments(NEWS_AT + ms);
+When('the missing upstreams are reviewed {int} ms later', function (this: ViewWorld, ms: number) {
+  this.view.markCurrent(CHANGED_AT + ms);
+  this.view.expireDocuments(CHANGED_AT + ms);
 });
 
 Then('upstream u1 counts as {word}', function (this: ViewWorld, state: string) {
@@ -204,7 +204,7 @@
 );
 
 Then(
-  'the duty is held under fence {int} since {int}',
+  'the promotion lease is held under fence {int} since {int}',
   function (this: ViewWorld, fence: number, at: number) {
     assert.deepEqual([this.view.seenDuty?.fence, this.view.seenDuty?.seenAt], [fence, at]);
   },
@@ -214,12 +214,15 @@
   assert.ok(this.board.evacuations.has(azId(az)));
 });
 
-Then('a host that has learnt everything from this one holds the same', function (this: ViewWorld) {
-  const board = new GatewayBoard(hostId('h9'), azId('z1'));
-  const view = viewOf(board, new HostMetrics());
-  view.applyDelta(this.view.deltaSince(STORE_START), NEWS_AT);
-  assert.deepEqual([...board.hosts.keys()], [...this.board.hosts.keys()]);
-  assert.deepEqual(board.unreadableHosts, this.board.unreadableHosts);
-  assert.deepEqual(board.allRecords, this.board.allRecords);
-  assert.equal(board.catalog?.version, this.board.catalog?.version);
-});
+Then(
+  'a host that has received everything from this one has the same state',
+  function (this: ViewWorld) {
+    const board = new GatewayBoard(hostId('h9'), azId('z1'));
+    const view = viewOf(board, new HostMetrics());
+    view.applyDelta(this.view.deltaSince(STORE_START), CHANGED_AT);
+    assert.deepEqual([...board.hosts.keys()], [...this.board.hosts.keys()]);
+    assert.deepEqual(board.unreadableHosts, this.board.unreadableHosts);
+    assert.deepEqual(board.allRecords, this.board.allRecords);
+    assert.equal(board.catalog?.version, this.board.catalog?.version);
+  },
+);
--- a/packages/gateway/tests/unreadable-documents.steps.ts
+++ b/packages/gateway/tests/unreadable-documents.steps.ts
@@ -16,34 +16,34 @@
 import { GROUP } from './fakes/fake-deployment.js';
 
 interface UnreadableWorld extends ActionWorld {
-  /** Revision of what can't be read. */
-  spoiltAt: number;
+  /** Revision of the unreadable value. */
+  unreadableAt: number;
   unknownKeys: readonly string[];
 }
 
 const TIMEOUT = { timeout: 30_000 };
 const POLL_MS = 2;
-const SPOILT = 'not a document';
+const UNREADABLE = 'not a document';
 const STRAY_GROUP = groupId('stray');
 const STRAY_UPSTREAM = upstreamId('stray-0');
 
-function spoil(world: UnreadableWorld, key: string): void {
-  world.deployment.store.put(key, SPOILT);
-  world.spoiltAt = world.deployment.store.revision;
+function corrupt(world: UnreadableWorld, key: string): void {
+  world.deployment.store.put(key, UNREADABLE);
+  world.unreadableAt = world.deployment.store.revision;
 }
 
 When(
   "the record of the group is overwritten by what can't be read",
   function (this: UnreadableWorld) {
-    spoil(this, primaryKey(GROUP));
+    corrupt(this, primaryKey(GROUP));
   },
 );
 
 When(
-  "the duty is overwritten by what can't be read, and the primary dies",
+  "the promotion lease is overwritten by what can't be read, and the primary dies",
   TIMEOUT,
   async function (this: UnreadableWorld) {
-    spoil(this, PROMOTION_LEASE_KEY);
+    corrupt(this, PROMOTION_LEASE_KEY);
     await pause(100);
     killPrimary(this);
   },
@@ -52,7 +52,7 @@
 When(
   "the entry of host {int} is overwritten by what can't be read",
   function (this: UnreadableWorld, index: number) {
-    spoil(this, hostKey(host(this, index).gateway.board.host));
+    corrupt(this, hostKey(host(this, index).gateway.board.host));
   },
 );
 
@@ -61,7 +61,7 @@
   TIMEOUT,
   async function (this: UnreadableWorld, count: number) {
     this.unknownKeys = Array.from({ length: count }, (_, index) => hostKey(`unknown-${index}`));
-    for (const key of this.unknownKeys) spoil(this, key);
+    for (const key of this.unknownKeys) corrupt(this, key);
     const boards = this.deployment.hosts.map(({ gateway }) => gateway.board);
     await this.deployment.until(() =>
       boards.every((board) => board.unreadableHosts.size === count),
@@ -103,9 +103,9 @@
   async function (this: UnreadableWorld, index: number) {
     const { gateway } = host(this, index);
     const { board } = gateway;
-    // A host that is about to stop does not list itself again.
+    // A draining host does not register again.
     board.draining = true;
-    spoil(this, hostKey(board.host));
+    corrupt(this, hostKey(board.host));
     await this.deployment.until(() => board.unreadableHosts.has(board.host));
     await gateway.drain();
   },
@@ -120,13 +120,13 @@
   'the record has an epoch above the revision of what could not be read',
   function (this: UnreadableWorld) {
     const record = host(this, 0).gateway.board.record(GROUP);
-    assert.ok(record !== undefined && record.epoch > this.spoiltAt, JSON.stringify(record));
+    assert.ok(record !== undefined && record.epoch > this.unreadableAt, JSON.stringify(record));
   },
 );
 
 Then('the fence is above the revision of what could not be read', function (this: UnreadableWorld) {
   const [first] = this.deployment.group.promotions;
-  assert.ok(first !== undefined && first.req.fence > this.spoiltAt);
+  assert.ok(first !== undefined && first.req.fence > this.unreadableAt);
 });
 
 Then(
@@ -135,7 +135,9 @@
   async function (this: UnreadableWorld, index: number, count: number) {
     const { deployment } = this;
     const key = hostKey(host(this, index).gateway.board.host);
-    await deployment.until(() => deployment.store.items.get(key)?.value !== JSON.stringify(SPOILT));
+    await deployment.until(
+      () => deployment.store.items.get(key)?.value !== JSON.stringify(UNREADABLE),
+    );
     const boards = deployment.hosts.map(({ gateway }) => gateway.board);
     await deployment.until(() =>
       boards.every((board) => board.hosts.size === count && board.unreadableHosts.size === 0),
@@ -144,7 +146,7 @@
 );
 
 Then(
-  'no primary is called for by the time of the second claim',
+  'no promotion is requested by the time of the second claim',
   TIMEOUT,
   async function (this: UnreadableWorld) {
     const { deployment } = this;
@@ -154,7 +156,7 @@
 );
 
 Then(
-  "the promotion is called for a proof's life after the claim",
+  "the promotion is requested a proof's lifetime after the claim",
   TIMEOUT,
   async function (this: UnreadableWorld) {
     const { deployment } = this;
@@ -163,7 +165,7 @@
     const claimedAt = performance.now();
     while (deployment.group.promotions.length === 0) await pause(POLL_MS);
     const [first] = deployment.group.promotions;
-    // What the claim takes to be seen here is covered by the margin of the wait.
+    // The delay until the claim is seen here is covered by the margin of the wait.
     assert.ok(first !== undefined && first.at - claimedAt >= DEFAULT_AUTHORITY.proofTtlMs);
   },
 );
