--- a/packages/gateway/src/control/store/expired-upstreams.ts
+++ b/packages/gateway/src/control/store/expired-upstreams.ts
@@ -55,9 +55,9 @@
    */
   updateStages(current: boolean, now: number): boolean {
     let changed = false;
-    for (const lapse of this.expiries.values()) {
-      if (current) changed = this.advance(lapse, now) || changed;
-      else lapse.since = now;
+    for (const expiry of this.expiries.values()) {
+      if (current) changed = this.advance(expiry, now) || changed;
+      else expiry.since = now;
     }
     return changed;
   }
--- a/packages/gateway/src/peering/peer-liveness.ts
+++ b/packages/gateway/src/peering/peer-liveness.ts
@@ -1,8 +1,8 @@
 /**
  * Liveness of other hosts on their links. A link or a host may stop responding without closing the connection: a
- * request that gets no frame in return is followed by a ping, which is answered at once even if the request has to wait.
- * A host that does not answer the ping gets no forwarded work, and finally its link is closed, so that pending requests
- * on it are settled and a new link is opened.
+ * request that gets no frame in return is followed by a ping, which is answered at once even if the request has to
+ * wait. A host that does not answer the ping gets no forwarded work, and finally its link is closed, so that pending
+ * requests on it are settled and a new link is opened.
  */
 import type { Logger } from '@gladespool/observability';
 import type { PeerAddress, PeerLink } from '@gladespool/peers';
