--- a/packages/gateway/src/control/store/document-reader.ts
+++ b/packages/gateway/src/control/store/document-reader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads what the metadata store holds, counts what became of it, and tells of documents that can't be used.
+ * Decodes the documents of the metadata store, counts the outcomes, and logs documents that can't be used.
  */
 import { formatStorePosition } from '@gladespool/coordination';
 import type { HostMetrics, Logger } from '@gladespool/observability';
@@ -11,10 +11,10 @@
 import type { StoreItem } from './metadata-store.js';
 import { OWN_PREFIX, readOwnDocument } from './store-documents.js';
 
-/** Characters of a key or place in a log line at most: others choose the names of keys. */
-const MAX_TOLD_CHARS = 200;
+/** Maximum characters of a key or place in a log line; keys are chosen by other writers and can be of any length. */
+const MAX_LOGGED_CHARS = 200;
 
-/** Reader of one host. */
+/** Document reader of one host. */
 export class DocumentReader {
   constructor(
     private readonly board: GatewayBoard,
@@ -23,12 +23,12 @@
     private readonly log: Logger,
   ) {}
 
-  /** Reads a version of a key that this host has not read before. */
+  /** Reads a version of a key that this host has not read before; each call is counted and may be logged. */
   read(item: StoreItem): DocumentReadResult<StoreDocument> {
     const reading = this.decode(item);
     const verdict = this.verdictOf(reading);
     this.metrics.storeDocuments.inc({ verdict });
-    this.tell(item, verdict, reading);
+    this.logResult(item, verdict, reading);
     return reading;
   }
 
@@ -39,22 +39,22 @@
   private verdictOf(reading: DocumentReadResult<StoreDocument>): DocumentVerdict {
     if (reading.verdict !== DocumentVerdict.Used) return reading.verdict;
     const { document } = reading;
-    const isKeptAside =
+    const isUnconfigured =
       document.kind === 'upstream' && !this.board.isConfigured(document.entry.group);
-    return isKeptAside ? DocumentVerdict.Unconfigured : DocumentVerdict.Used;
+    return isUnconfigured ? DocumentVerdict.Unconfigured : DocumentVerdict.Used;
   }
 
-  private tell(
+  private logResult(
     { key, position }: StoreItem,
     verdict: DocumentVerdict,
     reading: DocumentReadResult<StoreDocument>,
   ): void {
-    const logged = { key: key.slice(0, MAX_TOLD_CHARS), position: formatStorePosition(position) };
+    const fields = { key: key.slice(0, MAX_LOGGED_CHARS), position: formatStorePosition(position) };
     if (reading.verdict === DocumentVerdict.Unreadable) {
-      const place = reading.place.slice(0, MAX_TOLD_CHARS);
-      this.log.warn('store-document-unreadable', { ...logged, place });
+      const place = reading.place.slice(0, MAX_LOGGED_CHARS);
+      this.log.warn('store-document-unreadable', { ...fields, place });
     }
-    if (verdict === DocumentVerdict.Unrelated) this.log.trace('store-key-ignored', logged);
-    if (verdict === DocumentVerdict.Unconfigured) this.log.info('upstream-unconfigured', logged);
+    if (verdict === DocumentVerdict.Unrelated) this.log.trace('store-key-ignored', fields);
+    if (verdict === DocumentVerdict.Unconfigured) this.log.info('upstream-unconfigured', fields);
   }
 }
