--- a/packages/gateway/src/entry/caller-codec.ts
+++ b/packages/gateway/src/entry/caller-codec.ts
@@ -1,32 +1,32 @@
 /**
- * What the caller server asks of a caller protocol.
+ * Interface between the caller server and the codec of a caller protocol.
  */
 import type { Outcome } from '../model/outcome.js';
 import type { Statement } from '../model/statement.js';
 import type { SessionAnswer, SessionState } from './session.js';
 
-/** One message of a caller. */
+/** One decoded message of a caller. */
 export type CallerMessage =
   | {
       readonly kind: 'start';
       readonly database: string;
-      /** Who the caller is: its key, where keys are asked for. */
+      /** Identity of the caller: its API key, where keys are required. */
       readonly who: string;
     }
   | { readonly kind: 'statement'; readonly id: string; readonly statement: Statement }
-  /** A statement that the protocol allows but that makes no sense; the session goes on. */
+  /** A well-formed message whose content is not a valid statement; the session continues. */
   | { readonly kind: 'nonsense'; readonly id: string; readonly detail: string }
   | { readonly kind: 'end' }
-  /** Bytes that can't be read; the connection is closed. */
+  /** Bytes that cannot be decoded; the connection is closed. */
   | { readonly kind: 'broken'; readonly detail: string };
 
-/** Reads and writes the bytes of one caller's connection. */
+/** Decodes and encodes the messages of one caller's connection. */
 export interface CallerCodec {
   push(chunk: Buffer): readonly CallerMessage[];
   encodeWelcome(): string;
   encodeAnswer(answer: SessionAnswer): string;
-  /** An error that is followed by a close. */
+  /** Encodes an error after which the connection is closed. */
   encodeFatal(outcome: Exclude<Outcome, { kind: 'completed' }>): string;
-  /** An error to one statement. */
+  /** Encodes an error for one statement. */
   encodeFailure(outcome: Exclude<Outcome, { kind: 'completed' }>, state: SessionState): string;
 }
--- a/packages/gateway/src/entry/caller-connection.ts
+++ b/packages/gateway/src/entry/caller-connection.ts
@@ -1,6 +1,6 @@
 /**
- * One caller's connection: reads messages through a codec, hands statements to the session one by
- * one, writes the answers.
+ * One caller's connection: decodes messages, passes statements to the session one at a time, and writes the
+ * answers.
  */
 import type { Socket } from 'node:net';
 import { RefusalReason } from '@gladespool/coordination';
@@ -10,7 +10,7 @@
 import type { SessionContext } from './session.js';
 import { Session, SessionState } from './session.js';
 
-/** What a connection needs. */
+/** Dependencies and settings of a connection. */
 export interface CallerConnectionOptions {
   readonly socket: Socket;
   readonly codec: CallerCodec;
@@ -20,20 +20,19 @@
   readonly onClose: () => void;
 }
 
-/** Messages read ahead at most; a caller that sends more is not read until it is served. */
-const MAX_AHEAD = 64;
-/** Time left to the other side to take the last bytes, milliseconds. */
+/** Number of queued messages above which no more bytes are read from the caller. */
+const MAX_QUEUED = 64;
+/** Time for the caller to read the last bytes before the socket is destroyed, milliseconds. */
 const LINGER_MS = 100;
-/** Encoding that keeps every byte as it is. */
+/** Encoding that maps every byte to one character. */
 const BYTES = 'latin1';
 
-/** A caller's connection. */
 export class CallerConnection {
   private session: Session | undefined;
-  private readonly ahead: CallerMessage[] = [];
-  private working = false;
-  private leaving = false;
-  private closed = false;
+  private readonly queue: CallerMessage[] = [];
+  private isHandling = false;
+  private isClosing = false;
+  private isClosed = false;
   private readonly startTimer: NodeJS.Timeout;
 
   constructor(private readonly options: CallerConnectionOptions) {
@@ -49,35 +48,35 @@
       options.log.trace('caller-error', { error: error.message });
     });
     socket.on('close', () => {
-      this.end();
+      this.endSession();
     });
   }
 
-  /** Whether the session rests outside a transaction with nothing asked. */
+  /** Whether no transaction is open and no message is queued or being handled. */
   get isIdle(): boolean {
-    const resting = !this.working && this.ahead.length === 0;
-    return resting && (this.session?.state ?? SessionState.Idle) === SessionState.Idle;
+    const hasNoWork = !this.isHandling && this.queue.length === 0;
+    return hasNoWork && (this.session?.state ?? SessionState.Idle) === SessionState.Idle;
   }
 
   /** Closes the connection as soon as it is idle. */
   closeWhenIdle(): void {
-    this.leaving = true;
-    if (this.isIdle) this.hangUp();
+    this.isClosing = true;
+    if (this.isIdle) this.closeSocket();
   }
 
-  /** Closes the connection once its present statement is answered; an open transaction is rolled back. */
+  /** Closes the connection once its current statement is answered; an open transaction is rolled back. */
   closeAfterStatement(): void {
-    this.leaving = true;
-    if (!this.working) this.hangUp();
+    this.isClosing = true;
+    if (!this.isHandling) this.closeSocket();
   }
 
   /**
-   * Closes the connection from this side. What arrives from now on could not be answered, so it is
-   * neither read nor run.
+   * Closes the connection from this side. Messages that arrive after this could not be answered, so they are neither
+   * read nor run.
    */
-  private hangUp(): void {
+  private closeSocket(): void {
     const { socket } = this.options;
-    this.end();
+    this.endSession();
     socket.pause();
     socket.end(() => {
       setTimeout(() => socket.destroy(), LINGER_MS);
@@ -85,50 +84,52 @@
   }
 
   private receive(chunk: Buffer): void {
-    if (this.closed) return;
-    this.ahead.push(...this.options.codec.push(chunk));
-    if (this.ahead.length > MAX_AHEAD) this.options.socket.pause();
-    if (!this.working) void this.work();
+    if (this.isClosed) return;
+    this.queue.push(...this.options.codec.push(chunk));
+    if (this.queue.length > MAX_QUEUED) this.options.socket.pause();
+    if (!this.isHandling) void this.handleQueue();
   }
 
-  private async work(): Promise<void> {
-    this.working = true;
-    for (let message = this.ahead.shift(); message; message = this.ahead.shift()) {
-      if (this.closed) break;
-      await this.take(message);
-      if (this.ahead.length <= MAX_AHEAD) this.options.socket.resume();
+  private async handleQueue(): Promise<void> {
+    this.isHandling = true;
+    for (let message = this.queue.shift(); message; message = this.queue.shift()) {
+      if (this.isClosed) break;
+      await this.handle(message);
+      if (this.queue.length <= MAX_QUEUED) this.options.socket.resume();
     }
-    this.working = false;
-    if (this.leaving && !this.closed && this.isIdle) this.hangUp();
+    this.isHandling = false;
+    if (this.isClosing && !this.isClosed && this.isIdle) this.closeSocket();
   }
 
-  private async take(message: CallerMessage): Promise<void> {
+  private async handle(message: CallerMessage): Promise<void> {
     switch (message.kind) {
       case 'start':
         this.start(message.database, message.who);
         return;
       case 'end':
-        this.hangUp();
+        this.closeSocket();
         return;
       case 'broken':
         this.refuse(RefusalReason.SessionMisuse, message.detail);
         return;
       case 'nonsense':
-        this.refuseOne(message.detail);
+        this.refuseMessage(message.detail);
         return;
       default:
-        await this.answer(message);
+        await this.handleStatement(message);
     }
   }
 
-  /** Refuses one message; the session goes on as it was. */
-  private refuseOne(detail: string): void {
+  /** Refuses one message; the session continues in the same state. */
+  private refuseMessage(detail: string): void {
     const state = this.session?.state ?? SessionState.Idle;
     const refusal = refused(RefusalReason.SessionMisuse, detail);
     this.write(this.options.codec.encodeFailure(refusal, state));
   }
 
-  private async answer(message: Extract<CallerMessage, { kind: 'statement' }>): Promise<void> {
+  private async handleStatement(
+    message: Extract<CallerMessage, { kind: 'statement' }>,
+  ): Promise<void> {
     if (this.session === undefined) {
       this.refuse(RefusalReason.SessionMisuse, 'statement before the start message');
       return;
@@ -163,16 +164,16 @@
     this.options.log.info('session-refused', { reason, detail, catalog_version: version });
     this.options.session.recorder.countRefusal(reason);
     this.write(this.options.codec.encodeFatal(refused(reason, detail)));
-    this.hangUp();
+    this.closeSocket();
   }
 
   private write(text: string): void {
-    if (!this.closed) this.options.socket.write(text, BYTES);
+    if (!this.isClosed) this.options.socket.write(text, BYTES);
   }
 
-  private end(): void {
-    if (this.closed) return;
-    this.closed = true;
+  private endSession(): void {
+    if (this.isClosed) return;
+    this.isClosed = true;
     clearTimeout(this.startTimer);
     this.session?.close();
     this.options.onClose();
--- a/packages/gateway/src/entry/caller-server.ts
+++ b/packages/gateway/src/entry/caller-server.ts
@@ -1,5 +1,5 @@
 /**
- * Accepts callers and ends their connections in order when the host stops.
+ * Accepts connections of callers, and closes them gracefully when the host stops.
  */
 import type { Server, Socket } from 'node:net';
 import { createServer } from 'node:net';
@@ -10,43 +10,42 @@
 import { CallerConnection } from './caller-connection.js';
 import type { SessionContext } from './session.js';
 
-/** Options of the server. */
+/** Dependencies and settings of the server. */
 export interface CallerServerOptions {
   readonly session: SessionContext;
   readonly createCodec: () => CallerCodec;
-  /** Connections at most. */
+  /** Maximum number of connections. */
   readonly maxCallers: number;
-  /** Time in which a caller has to start its session, milliseconds. */
+  /** Time within which a caller has to send its start message, milliseconds. */
   readonly startTimeoutMs: number;
   readonly metrics: HostMetrics;
   readonly log: Logger;
 }
 
-/** Times of a planned stop, milliseconds from its begin. */
+/** Deadlines of a planned stop, milliseconds after its start. */
 export interface DrainTimes {
-  /** Until then callers are still accepted, since the balancer has yet to notice. */
+  /** Until then callers are still accepted, since the load balancer may not have noticed the stop yet. */
   readonly acceptMs: number;
-  /** Until then open transactions may go on. */
+  /** Until then open transactions may continue. */
   readonly transactionsMs: number;
-  /** Until then statements that are under way may end. */
+  /** Until then running statements may finish. */
   readonly statementsMs: number;
-  /** The host ends by then, be it that the store has not answered to its leaving the list. */
+  /** The host stops by then, even if the store has not confirmed its deregistration. */
   readonly deregisterMs: number;
 }
 
-/** Connections that may wait to be accepted. */
+/** Maximum number of connections waiting to be accepted. */
 const LISTEN_BACKLOG = 4096;
-/** Time between two looks at whether all callers are gone, milliseconds. */
+/** Interval at which a drain checks whether all connections are closed, milliseconds. */
 const POLL_MS = 20;
 
-/** Listening side towards callers. */
 export class CallerServer {
   private server: Server | undefined;
   private readonly connections = new Set<CallerConnection>();
 
   constructor(private readonly options: CallerServerOptions) {}
 
-  /** Starts to accept callers. */
+  /** Starts to accept connections. */
   async listen(address: string, port: number): Promise<void> {
     const server = createServer((socket) => {
       this.accept(socket);
@@ -58,24 +57,24 @@
     this.server = server;
   }
 
-  /** Ends every session where it is idle, in the order that `times` gives. */
+  /** Closes all sessions within the deadlines of `times`, first those that are idle. */
   async drain(times: DrainTimes): Promise<void> {
     const startedAt = performance.now();
     await pause(times.acceptMs);
     this.server?.close();
     this.closeSessionsWhenIdle();
-    await this.untilGone(startedAt + times.transactionsMs);
+    await this.waitUntilClosed(startedAt + times.transactionsMs);
     for (const connection of this.connections) connection.closeAfterStatement();
-    await this.untilGone(startedAt + times.statementsMs);
+    await this.waitUntilClosed(startedAt + times.statementsMs);
   }
 
-  /** Ends every session where it is idle; callers are accepted as before. */
+  /** Closes every session as soon as it is idle; new connections are still accepted. */
   closeSessionsWhenIdle(): void {
     for (const connection of this.connections) connection.closeWhenIdle();
   }
 
-  private async untilGone(until: number): Promise<void> {
-    while (this.connections.size > 0 && performance.now() < until) await pause(POLL_MS);
+  private async waitUntilClosed(deadline: number): Promise<void> {
+    while (this.connections.size > 0 && performance.now() < deadline) await pause(POLL_MS);
   }
 
   private accept(socket: Socket): void {
--- a/packages/gateway/src/entry/isolation-guard.ts
+++ b/packages/gateway/src/entry/isolation-guard.ts
@@ -1,65 +1,64 @@
 /**
- * Sends callers to other hosts while this one is cut off: without a proof it may use no primary, and
- * soon no replica either, since nothing tells it how old a replica's data is.
+ * Closes the sessions of callers while this host is isolated, so that they reconnect to other hosts. Without a proof
+ * the host may not use any primary, and soon no replica either, as it cannot determine the age of a replica's data.
  */
 import type { AuthorityRules } from '@gladespool/coordination';
 import type { Logger } from '@gladespool/observability';
 import type { GatewayBoard } from '../knowledge/board.js';
 
-/** What the guard works on. */
+/** Dependencies and settings of the guard. */
 export interface IsolationGuardOptions {
   readonly board: GatewayBoard;
   readonly authority: AuthorityRules;
   /**
-   * Time after which the balancer has noticed that this host takes no callers, milliseconds; also the time
-   * between two times of sending away.
+   * Time after which the load balancer has noticed that this host is not ready, milliseconds; also the interval at
+   * which sessions are closed.
    */
   readonly balancerDelayMs: number;
-  /** Ends every session where it rests; callers come back by way of the balancer. */
+  /** Closes every session as soon as it is idle; callers reconnect through the load balancer. */
   readonly closeSessionsWhenIdle: () => void;
   readonly log: Logger;
 }
 
-/** Guard of one host. */
 export class IsolationGuard {
-  /** Local time at which this guard first saw the present cut; undefined while there is none. */
-  private since: number | undefined;
-  /** Local time at which callers were last sent away in the present cut. */
-  private sentAwayAt = Number.NEGATIVE_INFINITY;
+  /** Local time at which the current isolation was first observed; undefined if the host is not isolated. */
+  private isolatedSince: number | undefined;
+  /** Local time at which sessions were last closed in the current isolation. */
+  private sessionsClosedAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: IsolationGuardOptions) {}
 
-  /** Whether this host is cut off at `now`; also before its first proof. */
+  /** Whether this host is isolated at `now`; also true before its first proof. */
   isIsolated(now: number): boolean {
     const { board, authority } = this.options;
     return board.isIsolated(now, authority);
   }
 
-  /** Notes changes, and sends callers away once the balancer sends them elsewhere. */
+  /** Logs changes, and closes sessions once the load balancer routes callers to other hosts. */
   tick(now: number): void {
     if (!this.isIsolated(now)) {
-      this.noteRejoined(now);
+      this.endIsolation(now);
       return;
     }
-    this.noteIsolated(now);
-    const { balancerDelayMs: noticedAfterMs, closeSessionsWhenIdle: sendAway } = this.options;
-    const noticedAt = (this.since ?? now) + noticedAfterMs;
-    if (now < noticedAt || now - this.sentAwayAt < noticedAfterMs) return;
-    this.sentAwayAt = now;
-    sendAway();
+    this.beginIsolation(now);
+    const { balancerDelayMs, closeSessionsWhenIdle } = this.options;
+    const firstCloseAt = (this.isolatedSince ?? now) + balancerDelayMs;
+    if (now < firstCloseAt || now - this.sessionsClosedAt < balancerDelayMs) return;
+    this.sessionsClosedAt = now;
+    closeSessionsWhenIdle();
   }
 
-  private noteIsolated(now: number): void {
-    if (this.since !== undefined) return;
-    this.since = now;
+  private beginIsolation(now: number): void {
+    if (this.isolatedSince !== undefined) return;
+    this.isolatedSince = now;
     const age = Math.round(now - this.options.board.latestProofAt);
     this.options.log.info('isolated', { proof_age_ms: age });
   }
 
-  private noteRejoined(now: number): void {
-    if (this.since === undefined) return;
-    this.options.log.info('rejoined', { after_ms: Math.round(now - this.since) });
-    this.since = undefined;
-    this.sentAwayAt = Number.NEGATIVE_INFINITY;
+  private endIsolation(now: number): void {
+    if (this.isolatedSince === undefined) return;
+    this.options.log.info('rejoined', { after_ms: Math.round(now - this.isolatedSince) });
+    this.isolatedSince = undefined;
+    this.sessionsClosedAt = Number.NEGATIVE_INFINITY;
   }
 }
--- a/packages/gateway/src/entry/request-recorder.ts
+++ b/packages/gateway/src/entry/request-recorder.ts
@@ -1,5 +1,5 @@
 /**
- * Tells the outcome of every statement to metrics, and to the log where a caller could ask about it.
+ * Records the outcome of every statement in the metrics, and in the log if it failed.
  */
 import { RefusalReason, REFUSAL_RULES } from '@gladespool/coordination';
 import type { HostMetrics, LogFields, Logger } from '@gladespool/observability';
@@ -9,7 +9,7 @@
 import { DONE } from '../model/outcome.js';
 import type { Statement } from '../model/statement.js';
 
-/** One statement and its end. */
+/** A statement that has been handled, with its outcome. */
 export interface FinishedRequest {
   readonly id: string;
   readonly database: string;
@@ -20,7 +20,6 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Records the ends of statements. */
 export class RequestRecorder {
   constructor(
     private readonly board: GatewayBoard,
@@ -28,26 +27,26 @@
     private readonly log: Logger,
   ) {}
 
-  /** Records the end of one statement. */
-  recordOutcome(end: FinishedRequest): void {
-    const tookMs = performance.now() - end.arrivedAt;
+  /** Records the outcome of one statement. */
+  recordOutcome(finished: FinishedRequest): void {
+    const tookMs = performance.now() - finished.arrivedAt;
     this.metrics.latency.observe(tookMs / MS_PER_SECOND);
-    const { outcome } = end;
+    const { outcome } = finished;
     if (outcome.kind === 'completed') {
       if (outcome === DONE) this.metrics.statements.inc({ served_by: ServedBy.Proxy });
       return;
     }
     if (outcome.kind === 'refused') this.metrics.refusals.inc({ reason: outcome.refusal.reason });
     this.log.info('request-failed', {
-      ...placeOf(end),
-      ...fieldsOf(outcome),
-      ...this.beliefsAbout(end.database),
+      ...requestFields(finished),
+      ...outcomeFields(outcome),
+      ...this.decisionFields(finished.database),
       ms: Math.round(tookMs),
     });
   }
 
-  /** What this host believed when it gave the answer, with versions and ages. */
-  private beliefsAbout(database: string): LogFields {
+  /** The configuration, record and proof on which this host based its answer, with versions and ages. */
+  private decisionFields(database: string): LogFields {
     const { board } = this;
     const group = board.route(database)?.group;
     const record = group && board.record(group);
@@ -61,23 +60,27 @@
     };
   }
 
-  /** Counts a refusal that concerns no statement. */
+  /** Counts a refusal that does not belong to a statement. */
   countRefusal(reason: RefusalReason): void {
     this.metrics.refusals.inc({ reason });
   }
 
-  /** Records that a transaction was ended for having rested `idleMs`. */
+  /** Records that a transaction was rolled back after it had been idle for `idleMs`. */
   recordIdleTimeout(database: string, idleMs: number): void {
     this.metrics.refusals.inc({ reason: RefusalReason.TransactionIdle });
     this.log.info('transaction-idle', { database, idle_ms: idleMs });
   }
 }
 
-function placeOf(end: FinishedRequest): { request: string; database: string; statement: string } {
-  return { request: end.id, database: end.database, statement: end.statement.kind };
+function requestFields(finished: FinishedRequest): {
+  request: string;
+  database: string;
+  statement: string;
+} {
+  return { request: finished.id, database: finished.database, statement: finished.statement.kind };
 }
 
-function fieldsOf(
+function outcomeFields(
   outcome: Exclude<Outcome, { kind: 'completed' }>,
 ): Record<string, string | undefined> {
   if (outcome.kind === 'faulted') {
--- a/packages/gateway/src/entry/session.ts
+++ b/packages/gateway/src/entry/session.ts
@@ -1,6 +1,6 @@
 /**
- * One caller's session: its values, prepared names, transaction, and what it has seen of its own
- * commits. Statements are handled one after the other; the protocol around it is a codec's matter.
+ * One caller's session: its session values, prepared statements, open transaction, and the positions of its own
+ * commits. Statements are handled one at a time; the wire protocol is implemented by a codec.
  */
 import type {
   GroupId,
@@ -31,11 +31,11 @@
 import { StatementKind } from '../model/statement.js';
 import type { RequestRecorder } from './request-recorder.js';
 
-/** Transaction state as the caller sees it. */
+/** Transaction state as reported to the caller. */
 export enum SessionState {
   Idle = 'idle',
   Open = 'open',
-  /** The transaction failed; only its end is accepted. */
+  /** The transaction has failed; only its commit or rollback is accepted. */
   Failed = 'failed',
 }
 
@@ -45,7 +45,7 @@
   readonly state: SessionState;
 }
 
-/** What every session of a host shares. */
+/** Dependencies and settings that all sessions of a host share. */
 export interface SessionContext {
   readonly board: GatewayBoard;
   readonly executor: Executor;
@@ -54,40 +54,39 @@
   readonly recorder: RequestRecorder;
 }
 
-/** Where an operation runs and for whom, by the configuration in force when it began. */
-interface Place {
+/** Route, workspace and permitted regions of an operation, by the configuration in force when it began. */
+interface OperationScope {
   readonly route: Route;
   readonly workspace: Workspace | undefined;
-  /** Regions that its data may be in. */
+  /** Regions in which its data may be stored. */
   readonly regions: PermittedRegions;
 }
 
-/** A transaction from the caller's BEGIN on; it is opened at an upstream with its first statement. */
-interface OpenState {
+/** A transaction after the caller's BEGIN; it is opened on an upstream with its first statement. */
+interface SessionTransaction {
   readonly readOnly: boolean;
   readonly beganAt: number;
-  readonly place: Place;
+  readonly place: OperationScope;
   pinned: OpenTransaction | undefined;
   failed: boolean;
 }
 
-/** Values and prepared names that one session may hold; more is taken for a fault of the caller. */
+/** Maximum number of session values, and of prepared statements, of a session; more indicate a faulty caller. */
 const MAX_NAMES = 1000;
-/** Time for which a transaction may rest before a configuration is known, milliseconds. */
+/** Idle timeout of transactions before a configuration is known, milliseconds. */
 const DEFAULT_IDLE_MS = 3000;
 
-/** Session of one caller. */
 export class Session {
   private readonly values = new Map<string, string>();
   private readonly prepared = new Map<string, PreparedStatement>();
-  private readonly own = new Map<GroupId, SessionPosition>();
-  private open: OpenState | undefined;
+  private readonly ownCommits = new Map<GroupId, SessionPosition>();
+  private transaction: SessionTransaction | undefined;
   private idleTimer: NodeJS.Timeout | undefined;
   private closed = false;
 
   private readonly key: KeyHash;
 
-  /** @param key what the caller gave at the start to tell who it is */
+  /** @param key identity that the caller gave in its start message; its API key, where keys are required */
   constructor(
     private readonly database: string,
     key: string,
@@ -96,22 +95,22 @@
     this.key = hashKey(key);
   }
 
-  /** Why an operation of this session would be refused at `now`; undefined when it would not. */
+  /** Reason for which an operation of this session would be refused at `now`; undefined if it would be accepted. */
   refusalAt(now: number): RefusalReason | undefined {
-    const place = this.place(now);
-    return place.isErr() ? place.error : undefined;
+    const scope = this.scopeAt(now);
+    return scope.isErr() ? scope.error : undefined;
   }
 
-  /** Transaction state as the caller sees it. */
+  /** Transaction state as reported to the caller. */
   get state(): SessionState {
-    if (this.open === undefined) return SessionState.Idle;
-    return this.open.failed ? SessionState.Failed : SessionState.Open;
+    if (this.transaction === undefined) return SessionState.Idle;
+    return this.transaction.failed ? SessionState.Failed : SessionState.Open;
   }
 
   /** Handles one statement that arrived at `now`. */
   async handle(id: string, statement: Statement, now: number): Promise<SessionAnswer> {
     clearTimeout(this.idleTimer);
-    const outcome = await this.outcomeOf(id, statement, now);
+    const outcome = await this.dispatch(id, statement, now);
     this.context.recorder.recordOutcome({
       id,
       database: this.database,
@@ -120,20 +119,20 @@
       arrivedAt: now,
     });
     if (this.closed) this.close();
-    else this.watchIdle();
+    else this.startIdleTimer();
     return { outcome, state: this.state };
   }
 
-  /** Ends the session; an open transaction is rolled back. */
+  /** Closes the session; an open transaction is rolled back. */
   close(): void {
     this.closed = true;
     clearTimeout(this.idleTimer);
-    this.open?.pinned?.rollback();
-    this.open = undefined;
+    this.transaction?.pinned?.rollback();
+    this.transaction = undefined;
   }
 
-  private async outcomeOf(id: string, statement: Statement, now: number): Promise<Outcome> {
-    if (this.open?.failed === true) return this.endFailed(statement);
+  private async dispatch(id: string, statement: Statement, now: number): Promise<Outcome> {
+    if (this.transaction?.failed === true) return this.handleAfterFailure(statement);
     switch (statement.kind) {
       case StatementKind.Begin:
         return this.begin(statement.readOnly, now);
@@ -142,38 +141,38 @@
       case StatementKind.Rollback:
         return this.rollback();
       case StatementKind.SetValue:
-        return this.remember(this.values, statement.name, statement.value);
+        return this.store(this.values, statement.name, statement.value);
       case StatementKind.Prepare:
-        return this.remember(this.prepared, statement.name, statement.prepared);
+        return this.store(this.prepared, statement.name, statement.prepared);
       case StatementKind.Deallocate:
         return this.deallocate(statement.name);
       default:
-        return this.work(id, statement, now);
+        return this.runWork(id, statement, now);
     }
   }
 
-  private async work(
+  private async runWork(
     id: string,
     statement: Extract<Statement, { kind: StatementKind.Run | StatementKind.Execute }>,
     now: number,
   ): Promise<Outcome> {
     const work = this.workOf(statement);
     if (work === undefined) return this.fail(refused(RefusalReason.UnknownStatement));
-    if (this.open !== undefined) return this.runInside(id, work, now);
-    const admitted = await this.admitted(now);
+    if (this.transaction !== undefined) return this.runInTransaction(id, work, now);
+    const admitted = await this.admitOperation(now);
     if (admitted.isErr()) return admitted.error;
-    const place = admitted.value;
+    const scope = admitted.value;
     const times = { beganAt: now, arrivedAt: now };
-    const job = { ...this.jobAt(place), id, work, ...times };
+    const job = { ...this.jobFields(scope), id, work, ...times };
     const outcome = await this.context.executor.run(job);
-    if (!mayHaveRun(outcome)) this.giveBack(place);
-    this.noteCommit(place.route.group, outcome);
+    if (!mayHaveRun(outcome)) this.refund(scope);
+    this.recordCommit(scope.route.group, outcome);
     return outcome;
   }
 
-  private async runInside(id: string, work: Work, now: number): Promise<Outcome> {
-    const isFirst = this.open?.pinned === undefined;
-    const opened = await this.pin(id, now, work);
+  private async runInTransaction(id: string, work: Work, now: number): Promise<Outcome> {
+    const isFirst = this.transaction?.pinned === undefined;
+    const opened = await this.pinTransaction(id, now, work);
     if (opened.kind === 'failed') return this.fail(opened.outcome);
     const { pinned } = opened;
     const step = { id, work, values: this.values, arrivedAt: now };
@@ -182,50 +181,51 @@
   }
 
   private async commit(id: string, now: number): Promise<Outcome> {
-    const { open } = this;
-    if (open === undefined) return refused(RefusalReason.SessionMisuse, 'no transaction is open');
-    const opened = await this.pin(id, now);
-    this.open = undefined;
+    const { transaction } = this;
+    if (transaction === undefined)
+      return refused(RefusalReason.SessionMisuse, 'no transaction is open');
+    const opened = await this.pinTransaction(id, now);
+    this.transaction = undefined;
     if (opened.kind === 'failed') return opened.outcome;
     const outcome = await opened.pinned.commit(id, now);
-    this.noteCommit(open.place.route.group, outcome);
+    this.recordCommit(transaction.place.route.group, outcome);
     return outcome;
   }
 
-  /** The transaction at an upstream, opened there if it is not yet. */
-  private async pin(id: string, now: number, first?: Work): Promise<Pinning> {
-    const { open } = this;
-    if (open === undefined) return notPinned(refused(RefusalReason.TransactionLost));
-    if (open.pinned !== undefined) return { kind: 'pinned', pinned: open.pinned };
-    const { place, readOnly, beganAt } = open;
+  /** Returns the transaction on its upstream; opens it there on first use. */
+  private async pinTransaction(id: string, now: number, first?: Work): Promise<PinResult> {
+    const { transaction } = this;
+    if (transaction === undefined) return pinFailure(refused(RefusalReason.TransactionLost));
+    if (transaction.pinned !== undefined) return { kind: 'pinned', pinned: transaction.pinned };
+    const { place, readOnly, beganAt } = transaction;
     const times = { beganAt, arrivedAt: now };
-    const job = { ...this.jobAt(place), id, readOnly, ...times, ...(first && { first }) };
+    const job = { ...this.jobFields(place), id, readOnly, ...times, ...(first && { first }) };
     const opened = await this.context.executor.begin(job);
     if (opened.isErr()) {
-      this.giveBack(place);
-      return notPinned(opened.error);
+      this.refund(place);
+      return pinFailure(opened.error);
     }
     if (this.closed) {
       opened.value.rollback();
-      return notPinned(refused(RefusalReason.TransactionLost, 'caller left'));
+      return pinFailure(refused(RefusalReason.TransactionLost, 'caller left'));
     }
-    open.pinned = opened.value;
+    transaction.pinned = opened.value;
     return { kind: 'pinned', pinned: opened.value };
   }
 
   private async begin(readOnly: boolean, now: number): Promise<Outcome> {
-    if (this.open !== undefined) {
+    if (this.transaction !== undefined) {
       return this.fail(refused(RefusalReason.SessionMisuse, 'a transaction is open already'));
     }
-    const admitted = await this.admitted(now);
+    const admitted = await this.admitOperation(now);
     if (admitted.isErr()) return admitted.error;
     const state = { readOnly, beganAt: now, pinned: undefined, failed: false };
-    this.open = { ...state, place: admitted.value };
+    this.transaction = { ...state, place: admitted.value };
     return DONE;
   }
 
-  /** Where an operation that begins at `now` runs, or why it is refused. */
-  private place(now: number): Result<Place, RefusalReason> {
+  /** Route, workspace and regions of an operation that begins at `now`, or the reason for its refusal. */
+  private scopeAt(now: number): Result<OperationScope, RefusalReason> {
     const { board, keys } = this.context;
     const route = board.route(this.database);
     if (route === undefined) return err(RefusalReason.UnknownGroup);
@@ -234,55 +234,59 @@
       case 'unknown-key':
         return err(RefusalReason.UnknownKey);
       case 'open':
-        return placeOf(route, undefined);
+        return scopeOf(route, undefined);
       case 'workspace':
         if (!areKeysValid(board.catalogConfirmedAt, now, keys)) {
           return err(RefusalReason.KeysUnconfirmed);
         }
-        return placeOf(route, admission.workspace);
+        return scopeOf(route, admission.workspace);
     }
   }
 
-  /** Admits an operation that begins at `now`: where it runs, or why it is refused. */
-  private async admitted(now: number): Promise<Result<Place, Outcome>> {
-    const place = this.place(now);
-    if (place.isErr()) return err(refused(place.error, this.database));
-    const { workspace } = place.value;
+  /** Admits an operation that begins at `now` within the workspace's rate limit, or refuses it. */
+  private async admitOperation(now: number): Promise<Result<OperationScope, Outcome>> {
+    const scope = this.scopeAt(now);
+    if (scope.isErr()) return err(refused(scope.error, this.database));
+    const { workspace } = scope.value;
     const refusal = workspace && (await this.context.limits.admit(workspace, now));
-    return refusal === undefined ? ok(place.value) : err({ kind: 'refused', refusal });
+    return refusal === undefined ? ok(scope.value) : err({ kind: 'refused', refusal });
   }
 
-  /** Gives back an operation of which nothing ran. */
-  private giveBack({ workspace }: Place): void {
+  /** Refunds an operation of which nothing ran. */
+  private refund({ workspace }: OperationScope): void {
     if (workspace !== undefined) this.context.limits.refund(workspace, performance.now());
   }
 
-  /** What every job at a place has in common. */
-  private jobAt({ route, workspace, regions }: Place): Omit<Job, 'id' | 'beganAt' | 'arrivedAt'> {
-    const own = this.own.get(route.group);
+  /** Fields that all jobs of an operation have in common. */
+  private jobFields({
+    route,
+    workspace,
+    regions,
+  }: OperationScope): Omit<Job, 'id' | 'beganAt' | 'arrivedAt'> {
+    const own = this.ownCommits.get(route.group);
     const job = { route, workspace: workspace?.id, values: this.values, own };
     return regions === undefined ? job : { ...job, regions };
   }
 
   private rollback(): Outcome {
-    if (this.open === undefined) {
+    if (this.transaction === undefined) {
       return refused(RefusalReason.SessionMisuse, 'no transaction is open');
     }
-    const { place, pinned } = this.open;
-    if (pinned === undefined) this.giveBack(place);
+    const { place, pinned } = this.transaction;
+    if (pinned === undefined) this.refund(place);
     pinned?.rollback();
-    this.open = undefined;
+    this.transaction = undefined;
     return DONE;
   }
 
-  /** In a failed transaction only its end is accepted; it was rolled back when it failed. */
-  private endFailed(statement: Statement): Outcome {
+  /** Handles a statement in a failed transaction, which was rolled back when it failed: accepts only its end. */
+  private handleAfterFailure(statement: Statement): Outcome {
     if (statement.kind === StatementKind.Rollback) {
-      this.open = undefined;
+      this.transaction = undefined;
       return DONE;
     }
     if (statement.kind === StatementKind.Commit) {
-      this.open = undefined;
+      this.transaction = undefined;
       return refused(RefusalReason.TransactionLost, 'rolled back');
     }
     return refused(RefusalReason.SessionMisuse, 'transaction has failed');
@@ -299,7 +303,7 @@
     return { kind: 'prepared', prepared, args: statement.args };
   }
 
-  private remember<Value>(names: Map<string, Value>, name: string, value: Value): Outcome {
+  private store<Value>(names: Map<string, Value>, name: string, value: Value): Outcome {
     if (names.size >= MAX_NAMES && !names.has(name)) {
       return this.fail(refused(RefusalReason.SessionMisuse, 'too many names'));
     }
@@ -312,22 +316,22 @@
     return this.fail(refused(RefusalReason.UnknownStatement, name));
   }
 
-  /** An error inside a transaction fails it; what it did is rolled back at once. */
+  /** Fails the open transaction, if any, and rolls it back at once. */
   private fail(outcome: Outcome): Outcome {
-    if (this.open === undefined) return outcome;
-    this.open.pinned?.rollback();
-    this.open.pinned = undefined;
-    this.open.failed = true;
+    if (this.transaction === undefined) return outcome;
+    this.transaction.pinned?.rollback();
+    this.transaction.pinned = undefined;
+    this.transaction.failed = true;
     return outcome;
   }
 
-  private noteCommit(group: GroupId, outcome: Outcome): void {
+  private recordCommit(group: GroupId, outcome: Outcome): void {
     if (outcome.kind !== 'completed' || outcome.committed === undefined) return;
-    this.own.set(group, outcome.committed);
+    this.ownCommits.set(group, outcome.committed);
   }
 
-  private watchIdle(): void {
-    if (this.open?.pinned === undefined) return;
+  private startIdleTimer(): void {
+    if (this.transaction?.pinned === undefined) return;
     const idleMs = this.context.board.catalog?.transactionIdleMs ?? DEFAULT_IDLE_MS;
     this.idleTimer = setTimeout(() => {
       this.fail(refused(RefusalReason.TransactionIdle));
@@ -336,12 +340,12 @@
   }
 }
 
-/** A transaction's upstream side, or why there is none. */
-type Pinning =
+/** A transaction that is open on an upstream, or the outcome if it could not be opened. */
+type PinResult =
   | { readonly kind: 'pinned'; readonly pinned: OpenTransaction }
   | { readonly kind: 'failed'; readonly outcome: Outcome };
 
-/** Whether a single statement may have run at an upstream; a read that was lost has changed nothing, but may. */
+/** Whether a single statement may have run on an upstream. A lost read changed nothing, but may have run. */
 function mayHaveRun(outcome: Outcome): boolean {
   switch (outcome.kind) {
     case 'completed':
@@ -354,13 +358,16 @@
   }
 }
 
-/** Where an operation runs, unless its data may be nowhere. */
-function placeOf(route: Route, workspace: Workspace | undefined): Result<Place, RefusalReason> {
+/** Determines the permitted regions of an operation; refuses it if there are none. */
+function scopeOf(
+  route: Route,
+  workspace: Workspace | undefined,
+): Result<OperationScope, RefusalReason> {
   const regions = permittedRegions(route.regions, workspace?.regions);
   if (regions?.length === 0) return err(RefusalReason.NoPermittedRegion);
   return ok({ route, workspace, regions });
 }
 
-function notPinned(outcome: Outcome): Pinning {
+function pinFailure(outcome: Outcome): PinResult {
   return { kind: 'failed', outcome };
 }
--- a/packages/gateway/src/forward/forward-frames.ts
+++ b/packages/gateway/src/forward/forward-frames.ts
@@ -1,5 +1,5 @@
 /**
- * Jobs and outcomes as they travel between hosts.
+ * Encodes and decodes the jobs and outcomes that hosts exchange.
  */
 import type { Refusal } from '@gladespool/coordination';
 import { groupId, regionId, workspaceId } from '@gladespool/coordination';
@@ -10,20 +10,19 @@
 import type { Outcome } from '../model/outcome.js';
 import type { Work } from '../model/statement.js';
 
-type ForwardAsk = FrameOf<FrameKind.ForwardRequest>;
+type ForwardRequest = FrameOf<FrameKind.ForwardRequest>;
 type ForwardReply = FrameOf<FrameKind.ForwardReply>;
-type WireWork = NonNullable<ForwardAsk['work']>;
+type WireWork = NonNullable<ForwardRequest['work']>;
 type WireRefusal = Extract<ForwardReply['outcome'], { readonly kind: 'refused' }>;
-type WireRoute = NonNullable<ForwardAsk['route']>;
+type WireRoute = NonNullable<ForwardRequest['route']>;
 
-/** Encodes work. */
 export function encodeWork(work: Work): WireWork {
   if (work.kind === 'text') return { access: work.access, text: work.text };
   const { access, shape } = work.prepared;
   return { access, shape, args: work.args };
 }
 
-/** Decodes work; undefined when the frame has none that makes sense. */
+/** Decodes work; undefined if the frame has none or it is incomplete. */
 export function decodeWork(wire: WireWork | undefined): Work | undefined {
   if (wire === undefined) return undefined;
   const { access } = wire;
@@ -32,11 +31,11 @@
   return { kind: 'prepared', prepared: { access, shape: wire.shape }, args: wire.args };
 }
 
-/** The times and values of a job, as every question carries them. */
+/** Encodes the times and session values of a job; times are sent as ages, since the clocks of hosts differ. */
 export function encodeTimes(
   job: Pick<Job, 'values' | 'arrivedAt'> & { readonly beganAt?: number },
   now: number,
-): Pick<ForwardAsk, 'values' | 'beganMs' | 'arrivedMs'> {
+): Pick<ForwardRequest, 'values' | 'beganMs' | 'arrivedMs'> {
   return {
     values: [...job.values],
     beganMs: Math.max(0, now - (job.beganAt ?? job.arrivedAt)),
@@ -44,23 +43,28 @@
   };
 }
 
-/** Decodes the parts of a job that a single statement and a begin share. */
-export function decodeJob(ask: ForwardAsk, route: WireRoute, now: number): Job {
+/** Decodes the fields that a single statement and a begin have in common. */
+export function decodeJob(frame: ForwardRequest, route: WireRoute, now: number): Job {
   return {
     route: decodeRoute(route),
-    workspace: ask.workspace === undefined ? undefined : workspaceId(ask.workspace),
-    ...(ask.regions && { regions: ask.regions.map(regionId) }),
-    id: ask.request,
-    values: new Map(ask.values),
-    own: ask.own,
-    beganAt: now - ask.beganMs,
-    arrivedAt: now - ask.arrivedMs,
+    workspace: frame.workspace === undefined ? undefined : workspaceId(frame.workspace),
+    ...(frame.regions && { regions: frame.regions.map(regionId) }),
+    id: frame.request,
+    values: new Map(frame.values),
+    own: frame.own,
+    beganAt: now - frame.beganMs,
+    arrivedAt: now - frame.arrivedMs,
   };
 }
 
 /** Decodes a statement inside a transaction. */
-export function decodeStep(ask: ForwardAsk, work: Work, now: number): StepJob {
-  return { id: ask.request, work, values: new Map(ask.values), arrivedAt: now - ask.arrivedMs };
+export function decodeStep(frame: ForwardRequest, work: Work, now: number): StepJob {
+  return {
+    id: frame.request,
+    work,
+    values: new Map(frame.values),
+    arrivedAt: now - frame.arrivedMs,
+  };
 }
 
 function decodeRoute(wire: WireRoute): Route {
@@ -70,7 +74,7 @@
   };
 }
 
-/** Encodes the answer to question `id`. */
+/** Encodes the reply to request `id`. */
 export function encodeReply(
   id: number,
   transaction: number,
@@ -87,7 +91,7 @@
   return { ...base, outcome: committed === undefined ? completed : { ...completed, committed } };
 }
 
-/** Decodes an outcome; undefined when the answer has none. */
+/** Decodes an outcome; undefined if the reply has none. */
 export function decodeOutcome(wire: ForwardReply['outcome']): Outcome | undefined {
   switch (wire?.kind) {
     case undefined:
--- a/packages/gateway/src/forward/forward-service.ts
+++ b/packages/gateway/src/forward/forward-service.ts
@@ -1,6 +1,6 @@
 /**
- * Serves other hosts: runs the statements that they forward on this host's own homes, and rolls
- * their transactions back when the link is lost.
+ * Runs the statements that other hosts forward on this host's own upstream connections, and rolls back their
+ * transactions when the link to them is lost.
  */
 import { RefusalReason } from '@gladespool/coordination';
 import type { PeerHandler, PeerLink } from '@gladespool/peers';
@@ -13,30 +13,30 @@
 import type { Work } from '../model/statement.js';
 import { decodeJob, decodeStep, decodeWork, encodeReply } from './forward-frames.js';
 
-type ForwardAsk = FrameOf<FrameKind.ForwardRequest>;
+type ForwardRequest = FrameOf<FrameKind.ForwardRequest>;
 
 interface HeldTransaction {
   readonly link: PeerLink;
   readonly transaction: OpenTransaction;
-  /** Rolls the transaction back when no statement of it has come for too long. */
+  /** Rolls the transaction back when it has been idle for too long. */
   idleTimer: NodeJS.Timeout | undefined;
 }
 
-/** Time for which a transaction may rest before a configuration is known, milliseconds. */
+/** Idle timeout of transactions before a configuration is known, milliseconds. */
 const DEFAULT_IDLE_MS = 3000;
 /**
- * Added to the time for which a transaction may rest, milliseconds: the caller's host ends it first,
- * unless the link has gone silent and its word can't arrive.
+ * Added to the idle timeout of transactions, milliseconds, so that the caller's host ends an idle transaction first,
+ * unless the link is dead and its rollback cannot arrive.
  */
 const IDLE_SLACK_MS = 1000;
 
-/** Outcome of a question, with the handle of a transaction that it opened. */
-interface Served {
+/** Outcome of a request, with the handle of the transaction that it opened, or 0. */
+interface ServeResult {
   readonly handle: number;
   readonly outcome: Outcome | undefined;
 }
 
-/** Serving side of forwarding. */
+/** Server side of forwarding. */
 export class ForwardService implements PeerHandler {
   private readonly held = new Map<number, HeldTransaction>();
   private nextHandle = 1;
@@ -55,52 +55,52 @@
     for (const [handle, held] of this.held) if (held.link === link) this.rollBack(handle);
   }
 
-  private async answer(link: PeerLink, ask: ForwardAsk): Promise<void> {
-    const { handle, outcome } = await this.serve(link, ask, performance.now());
-    const sent = link.send(encodeReply(ask.id, handle, outcome));
+  private async answer(link: PeerLink, frame: ForwardRequest): Promise<void> {
+    const { handle, outcome } = await this.serve(link, frame, performance.now());
+    const sent = link.send(encodeReply(frame.id, handle, outcome));
     if (!sent && handle !== 0) this.rollBack(handle);
   }
 
-  private async serve(link: PeerLink, ask: ForwardAsk, now: number): Promise<Served> {
-    const work = decodeWork(ask.work);
-    switch (ask.operation) {
+  private async serve(link: PeerLink, frame: ForwardRequest, now: number): Promise<ServeResult> {
+    const work = decodeWork(frame.work);
+    switch (frame.operation) {
       case ForwardOperation.Run:
-        if (ask.route === undefined || work === undefined) return misuse();
-        return served(await this.executor.run({ ...decodeJob(ask, ask.route, now), work }));
+        if (frame.route === undefined || work === undefined) return incompleteRequest();
+        return served(await this.executor.run({ ...decodeJob(frame, frame.route, now), work }));
       case ForwardOperation.Begin:
-        return this.begin(link, ask, work, now);
+        return this.begin(link, frame, work, now);
       case ForwardOperation.Step:
-        if (work === undefined) return misuse();
-        return served(await this.step(ask.transaction, decodeStep(ask, work, now)));
+        if (work === undefined) return incompleteRequest();
+        return served(await this.step(frame.transaction, decodeStep(frame, work, now)));
       case ForwardOperation.Commit: {
-        const held = this.held.get(ask.transaction);
+        const held = this.held.get(frame.transaction);
         if (held === undefined) return served(refused(RefusalReason.TransactionLost));
         clearTimeout(held.idleTimer);
-        this.held.delete(ask.transaction);
-        return served(await held.transaction.commit(ask.request, now - ask.arrivedMs));
+        this.held.delete(frame.transaction);
+        return served(await held.transaction.commit(frame.request, now - frame.arrivedMs));
       }
     }
   }
 
-  /** Opens a transaction and runs the statement that came with the question, if any. */
+  /** Opens a transaction and runs the statement that the request contains, if any. */
   private async begin(
     link: PeerLink,
-    ask: ForwardAsk,
+    frame: ForwardRequest,
     first: Work | undefined,
     now: number,
-  ): Promise<Served> {
-    if (ask.route === undefined) return misuse();
-    const job = { ...decodeJob(ask, ask.route, now), readOnly: ask.readOnly };
+  ): Promise<ServeResult> {
+    if (frame.route === undefined) return incompleteRequest();
+    const job = { ...decodeJob(frame, frame.route, now), readOnly: frame.readOnly };
     const opened = await this.executor.begin(job);
     if (opened.isErr()) return served(opened.error);
     const handle = this.nextHandle;
     this.nextHandle += 1;
     const held = { link, transaction: opened.value, idleTimer: undefined };
     this.held.set(handle, held);
-    this.watchIdle(handle, held);
+    this.startIdleTimer(handle, held);
     if (!link.ready) this.rollBack(handle);
     if (first === undefined) return { handle, outcome: undefined };
-    return { handle, outcome: await this.step(handle, decodeStep(ask, first, now)) };
+    return { handle, outcome: await this.step(handle, decodeStep(frame, first, now)) };
   }
 
   /** Runs one statement of an open transaction. */
@@ -110,11 +110,11 @@
     clearTimeout(held.idleTimer);
     const outcome = await held.transaction.run(step);
     if (outcome.kind !== 'completed') this.held.delete(handle);
-    else this.watchIdle(handle, held);
+    else this.startIdleTimer(handle, held);
     return outcome;
   }
 
-  private watchIdle(handle: number, held: HeldTransaction): void {
+  private startIdleTimer(handle: number, held: HeldTransaction): void {
     const idleMs = this.board.catalog?.transactionIdleMs ?? DEFAULT_IDLE_MS;
     held.idleTimer = setTimeout(() => {
       this.rollBack(handle);
@@ -130,10 +130,10 @@
   }
 }
 
-function served(outcome: Outcome): Served {
+function served(outcome: Outcome): ServeResult {
   return { handle: 0, outcome };
 }
 
-function misuse(): Served {
+function incompleteRequest(): ServeResult {
   return served(refused(RefusalReason.SessionMisuse, 'incomplete question'));
 }
--- a/packages/gateway/src/forward/remote-executor.ts
+++ b/packages/gateway/src/forward/remote-executor.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the work of sessions on another host.
+ * Forwards the statements and transactions of sessions to another host.
  */
 import type { GladespoolError } from '@gladespool/coordination';
 import { Access, gladespoolError, RefusalReason, Step } from '@gladespool/coordination';
@@ -17,30 +17,30 @@
 import { decodeOutcome, encodeTimes, encodeWork } from './forward-frames.js';
 
 type ForwardReply = FrameOf<FrameKind.ForwardReply>;
-type AskFields = Omit<FrameOf<FrameKind.ForwardRequest>, 'kind' | 'id'>;
+type RequestFields = Omit<FrameOf<FrameKind.ForwardRequest>, 'kind' | 'id'>;
 
-/** Added to a statement's time before the other host counts as silent, milliseconds. */
+/** Added to a statement's remaining time for the timeout of the forwarded request, milliseconds. */
 const SLACK_MS = 50;
 /**
- * Longest wait for a link to the other host, milliseconds: a link takes three round trips, and a host
- * that is dark must not use up the time of a statement that another host could run.
+ * Timeout for opening a link to the other host, milliseconds: a link takes three round trips, and an unreachable
+ * host must not use up the time of a statement that another host could run.
  */
 const LINK_TIMEOUT_MS = 400;
 
-/** Work on one other host. */
+/** Executor that runs all work on one other host. */
 export class RemoteExecutor {
   constructor(
     private readonly calls: Pick<PeerCalls, 'request' | 'notify'>,
     private readonly peer: PeerAddress,
   ) {}
 
-  /** Runs a single statement. A write whose answer is lost may have run. */
+  /** Runs a single statement. A write whose reply is lost may have run. */
   async run(job: StatementJob): Promise<Outcome> {
     const fields = {
-      ...askOf(ForwardOperation.Run, job, performance.now()),
+      ...requestFieldsOf(ForwardOperation.Run, job, performance.now()),
       work: encodeWork(job.work),
     };
-    const reply = await this.ask(fields, timeLeft(job));
+    const reply = await this.request(fields, remainingMs(job));
     if (reply.isOk()) return decodeOutcome(reply.value.outcome) ?? refused(RefusalReason.PeerLost);
     if (!mayHaveArrived(reply.error)) return refused(RefusalReason.PeerUnreachable);
     const isRead = accessOf(job.work) === Access.Read;
@@ -49,11 +49,11 @@
 
   async begin(job: BeginJob): Promise<Result<OpenTransaction, Outcome>> {
     const fields = {
-      ...askOf(ForwardOperation.Begin, job, performance.now()),
+      ...requestFieldsOf(ForwardOperation.Begin, job, performance.now()),
       readOnly: job.readOnly,
       ...(job.first && { work: encodeWork(job.first) }),
     };
-    const reply = await this.ask(fields, timeLeft(job));
+    const reply = await this.request(fields, remainingMs(job));
     if (reply.isErr()) return err(refused(RefusalReason.PeerUnreachable));
     const { transaction } = reply.value;
     const outcome = decodeOutcome(reply.value.outcome);
@@ -61,8 +61,11 @@
     return ok(new RemoteTransaction(this, job, transaction, outcome));
   }
 
-  /** Asks the other host. */
-  async ask(fields: AskFields, timeoutMs: number): Promise<Result<ForwardReply, GladespoolError>> {
+  /** Sends one request to the other host. */
+  async request(
+    fields: RequestFields,
+    timeoutMs: number,
+  ): Promise<Result<ForwardReply, GladespoolError>> {
     const build = (id: number) => ({ kind: FrameKind.ForwardRequest, id, ...fields }) as const;
     const answer = await this.calls.request(this.peer, build, timeoutMs + SLACK_MS, {
       linkTimeoutMs: LINK_TIMEOUT_MS,
@@ -72,11 +75,11 @@
 
   private expectReply(frame: Frame): Result<ForwardReply, GladespoolError> {
     if (frame.kind === FrameKind.ForwardReply) return ok(frame);
-    const place = { step: Step.PeerExchange, peer: this.peer.host };
-    return err(gladespoolError(place, `answered by ${frame.kind}`));
+    const context = { step: Step.PeerExchange, peer: this.peer.host };
+    return err(gladespoolError(context, `unexpected reply ${frame.kind}`));
   }
 
-  /** Tells the other host to roll a transaction back. */
+  /** Requests the rollback of a transaction, without waiting for it. */
   rollBack(transaction: number): void {
     void this.calls.notify(this.peer, { kind: FrameKind.ForwardRollback, transaction });
   }
@@ -85,8 +88,8 @@
 /** A transaction that is open on another host. */
 class RemoteTransaction implements OpenTransaction {
   readonly first?: Outcome;
-  private over = false;
-  private wrote: boolean;
+  private isEnded = false;
+  private hasWritten: boolean;
 
   constructor(
     private readonly executor: RemoteExecutor,
@@ -94,35 +97,35 @@
     private readonly handle: number,
     first: Outcome | undefined,
   ) {
-    this.wrote = begin.first !== undefined && accessOf(begin.first) === Access.Write;
+    this.hasWritten = begin.first !== undefined && accessOf(begin.first) === Access.Write;
     if (first !== undefined) this.first = first;
   }
 
   async run(step: StepJob): Promise<Outcome> {
-    if (accessOf(step.work) === Access.Write) this.wrote = true;
+    if (accessOf(step.work) === Access.Write) this.hasWritten = true;
     const fields = this.fields(ForwardOperation.Step, step.id, step);
-    const ask = { ...fields, work: encodeWork(step.work) };
-    const reply = await this.executor.ask(ask, this.begin.route.timeoutMs);
-    const told = reply.isOk() ? decodeOutcome(reply.value.outcome) : undefined;
-    const outcome = told ?? refused(RefusalReason.TransactionLost, 'host was lost');
+    const request = { ...fields, work: encodeWork(step.work) };
+    const reply = await this.executor.request(request, this.begin.route.timeoutMs);
+    const decoded = reply.isOk() ? decodeOutcome(reply.value.outcome) : undefined;
+    const outcome = decoded ?? refused(RefusalReason.TransactionLost, 'host was lost');
     if (outcome.kind !== 'completed') this.rollback();
     return outcome;
   }
 
   async commit(id: string, arrivedAt: number): Promise<Outcome> {
-    if (this.over) return refused(RefusalReason.TransactionLost);
-    this.over = true;
+    if (this.isEnded) return refused(RefusalReason.TransactionLost);
+    this.isEnded = true;
     const fields = this.fields(ForwardOperation.Commit, id, { values: new Map(), arrivedAt });
-    const reply = await this.executor.ask(fields, this.begin.route.timeoutMs);
+    const reply = await this.executor.request(fields, this.begin.route.timeoutMs);
     const outcome = reply.isOk() ? decodeOutcome(reply.value.outcome) : undefined;
     if (outcome !== undefined) return outcome;
-    const isCertain = !this.wrote || (reply.isErr() && !mayHaveArrived(reply.error));
+    const isCertain = !this.hasWritten || (reply.isErr() && !mayHaveArrived(reply.error));
     return refused(isCertain ? RefusalReason.TransactionLost : RefusalReason.PeerLost);
   }
 
   rollback(): void {
-    if (this.over) return;
-    this.over = true;
+    if (this.isEnded) return;
+    this.isEnded = true;
     this.executor.rollBack(this.handle);
   }
 
@@ -130,7 +133,7 @@
     operation: ForwardOperation,
     request: string,
     job: Pick<Job, 'values' | 'arrivedAt'>,
-  ): AskFields {
+  ): RequestFields {
     return {
       operation,
       request,
@@ -141,7 +144,7 @@
   }
 }
 
-function askOf(operation: ForwardOperation, job: Job, now: number): AskFields {
+function requestFieldsOf(operation: ForwardOperation, job: Job, now: number): RequestFields {
   const fields = {
     operation,
     request: job.id,
@@ -159,6 +162,6 @@
   };
 }
 
-function timeLeft(job: Job): number {
+function remainingMs(job: Job): number {
   return Math.max(1, job.arrivedAt + job.route.timeoutMs - performance.now());
 }
--- a/packages/gateway/src/forward/routed-executor.ts
+++ b/packages/gateway/src/forward/routed-executor.ts
@@ -1,7 +1,7 @@
 /**
- * Decides which host runs a session's work: this one if it is a home of the group, else a home of
- * the zone; for what needs a primary that this host can't reach, a host that does; and for what no
- * upstream lets this host in for, another home of the zone.
+ * Decides which host runs a session's work: this one if it is a home of the group, else a home of its zone. Work
+ * that needs a primary which this host cannot reach is forwarded to a host that reaches it. Work for which no
+ * upstream accepts a connection from this host is forwarded to another home.
  */
 import type { GroupId, HostId } from '@gladespool/coordination';
 import {
@@ -28,7 +28,7 @@
 import type { ReachabilityReports } from '../knowledge/reachability-reports.js';
 import { RemoteExecutor } from './remote-executor.js';
 
-/** What the routing works with. */
+/** Dependencies of the routing. */
 export interface RoutedExecutorOptions {
   readonly board: GatewayBoard;
   readonly local: Executor;
@@ -42,29 +42,32 @@
   readonly startedAt: number;
 }
 
-/** Other hosts asked at most, before this host tries itself and again after it. */
-const MAX_DETOURS = 2;
-/** Time after its start for which a host leaves connections to homes, milliseconds: enough for these to open theirs. */
-const LEAVE_TO_HOMES_MS = 1500;
+/** Maximum number of other hosts tried before the local attempt, and again after it. */
+const MAX_PEERS_TRIED = 2;
+/**
+ * Time after its start for which a host that is not a home opens no upstream connections, milliseconds: long enough
+ * for the homes to open theirs.
+ */
+const HOMES_FIRST_MS = 1500;
 
-/** Work that may be tried on one host after another. */
+/** Work that can be tried on one host after another. */
 interface Attempt<Value> {
   readonly job: Job;
-  /** Whether the primary alone can run it. */
+  /** Whether only the primary can run it. */
   readonly onlyPrimary: boolean;
   on(executor: Executor): Promise<Value>;
-  /** How an attempt ended; undefined when it opened a transaction. */
+  /** Outcome of an attempt; undefined if it opened a transaction. */
   outcomeOf(value: Value): Outcome | undefined;
 }
 
-/** How the last attempt on another host ended. */
-interface Tried<Value> {
+/** Result of the last attempt on another host. */
+interface PeerResult<Value> {
   readonly value: Value;
-  /** Whether no other host could do better. */
+  /** Whether the work is not to be tried on another host. */
   readonly isFinal: boolean;
 }
 
-/** Executor that knows the other hosts. */
+/** Executor that runs work locally or forwards it to other hosts. */
 export class RoutedExecutor implements Executor {
   constructor(private readonly options: RoutedExecutorOptions) {}
 
@@ -86,87 +89,95 @@
     });
   }
 
-  /** Tries hosts in turn as long as the work has certainly not run and another could do better. */
+  /** Tries one host after another, as long as the work has certainly not run and another host might succeed. */
   private async route<Value>(attempt: Attempt<Value>): Promise<Value> {
     const { job } = attempt;
     const { group } = job.route;
     const now = performance.now();
-    const goesToPrimary = attempt.onlyPrimary || this.lacksMark(job);
-    const detours = this.reachable(job, this.detours(attempt, goesToPrimary, now), now);
-    const first = await this.runElsewhere(attempt, detours);
+    const goesToPrimary = attempt.onlyPrimary || this.lacksWatermark(job);
+    const preferred = this.usablePeers(job, this.preferredPeers(attempt, goesToPrimary, now), now);
+    const first = await this.tryPeers(attempt, preferred);
     if (first?.isFinal === true) return first.value;
-    if (first !== undefined && this.leavesToHomes(group, now)) return first.value;
+    if (first !== undefined && this.mustLeaveToHomes(group, now)) return first.value;
     const own = await attempt.on(this.options.local);
     const outcome = attempt.outcomeOf(own);
-    if (outcome === undefined || !couldGoElsewhere(outcome)) return own;
+    if (outcome === undefined || !mayRunElsewhere(outcome)) return own;
     const { reason } = outcome.refusal;
     const later = performance.now();
-    const helpers = this.reachable(job, this.helpers(group, goesToPrimary, reason, later), later);
-    const last = await this.runElsewhere(attempt, helpers);
+    const fallbacks = this.usablePeers(
+      job,
+      this.fallbackPeers(group, goesToPrimary, reason, later),
+      later,
+    );
+    const last = await this.tryPeers(attempt, fallbacks);
     return last?.isFinal === true ? last.value : own;
   }
 
   /**
-   * Whether this host, which is no home and has just started, opens no connection of its own where homes
-   * stand near the upstreams. After a loss of all hosts each of them would open some, and an upstream that
-   * serves so many at once serves none in time: 98 attempts on six primaries ran out of time within two
-   * seconds, and nothing was served for three (61 hosts, killed at once).
+   * Whether this host is not a home, has just started, and the homes are near the upstreams: it then opens no
+   * upstream connections of its own. When all hosts restart at once, each would open some, and an upstream that has
+   * to accept so many at once serves none in time: with 61 hosts killed at once, 98 attempts on six primaries timed
+   * out within two seconds, and no statement was served for three seconds.
    */
-  private leavesToHomes(group: GroupId, now: number): boolean {
+  private mustLeaveToHomes(group: GroupId, now: number): boolean {
     const { directory, startedAt } = this.options;
-    if (now - startedAt >= LEAVE_TO_HOMES_MS) return false;
+    if (now - startedAt >= HOMES_FIRST_MS) return false;
     return isNearUpstreams(directory.plan(group)) && !directory.isHome(group);
   }
 
   /**
-   * Without the hosts that don't answer, since work forwarded to them would wait for nothing, and without those
-   * outside the regions that the data may be in.
+   * Filters out hosts that do not answer, since work forwarded to them would only time out, and hosts outside the
+   * regions in which the data may be stored.
    */
-  private reachable(job: Job, peers: readonly PeerAddress[], now: number): readonly PeerAddress[] {
+  private usablePeers(
+    job: Job,
+    peers: readonly PeerAddress[],
+    now: number,
+  ): readonly PeerAddress[] {
     const { calls } = this.options;
-    const inside = peers.filter((peer) => this.isInside(job, peer));
-    return inside.filter((peer) => calls.isReachable(peer, now)).slice(0, MAX_DETOURS);
+    const inside = peers.filter((peer) => this.isInPermittedRegion(job, peer));
+    return inside.filter((peer) => calls.isReachable(peer, now)).slice(0, MAX_PEERS_TRIED);
   }
 
-  private isInside({ regions }: Job, peer: PeerAddress): boolean {
+  private isInPermittedRegion({ regions }: Job, peer: PeerAddress): boolean {
     if (regions === undefined) return true;
     const { board } = this.options;
     const entry = board.hosts.get(peer.host as HostId);
     return entry !== undefined && isPermitted(entry.az, regions, board.topology);
   }
 
-  /** Tries `peers` in turn until the work may have run or no other host could do better; undefined for none. */
-  private async runElsewhere<Value>(
+  /** Tries `peers` in turn until the work may have run or no other host might succeed; undefined without peers. */
+  private async tryPeers<Value>(
     attempt: Attempt<Value>,
     peers: readonly PeerAddress[],
-  ): Promise<Tried<Value> | undefined> {
-    let last: Tried<Value> | undefined;
+  ): Promise<PeerResult<Value> | undefined> {
+    let last: PeerResult<Value> | undefined;
     for (const peer of peers) {
       const value = await attempt.on(new RemoteExecutor(this.options.calls, peer));
       const outcome = attempt.outcomeOf(value);
-      if (outcome === undefined || !couldGoElsewhere(outcome)) return { value, isFinal: true };
-      this.noteFailed(attempt.job, peer, outcome.refusal.reason);
+      if (outcome === undefined || !mayRunElsewhere(outcome)) return { value, isFinal: true };
+      this.recordFailure(attempt.job, peer, outcome.refusal.reason);
       last = { value, isFinal: false };
     }
     return last;
   }
 
   /**
-   * Other hosts that may do what this one could not: those that reach the primary, or, when no upstream
-   * let this host in, other homes. Upstreams are full for a while after hosts lost power, and who got in
-   * first serves the others.
+   * Other hosts to try after the local attempt failed: those that reach the primary, or other homes if no upstream
+   * accepted a connection. After a power loss of hosts, upstreams are at their connection limit for a while, and the
+   * homes that connected first serve the other hosts.
    */
-  private helpers(
+  private fallbackPeers(
     group: GroupId,
     goesToPrimary: boolean,
     reason: RefusalReason,
     now: number,
   ): readonly PeerAddress[] {
     const { directory } = this.options;
-    const reaching = goesToPrimary ? this.reachingPrimary(group, now) : [];
+    const reaching = goesToPrimary ? this.hostsReachingPrimary(group, now) : [];
     if (reaching.length > 0) return this.addresses(reaching);
     if (reason !== RefusalReason.UpstreamUnreachable) return [];
-    // A host that is no home has asked homes already, before it tried itself.
+    // A host that is not a home has tried homes already, before the local attempt.
     const near = directory.isHome(group) ? this.homesOfZone(group) : [];
     return this.addresses([
       ...near,
@@ -174,13 +185,13 @@
     ]);
   }
 
-  /** Homes of the own zone but this host. */
+  /** Homes of this host's zone, without this host. */
   private homesOfZone(group: GroupId): readonly HostId[] {
     const { board, directory } = this.options;
     return directory.homesInZone(group, board.host).filter((host) => host !== board.host);
   }
 
-  private noteFailed(job: Job, peer: PeerAddress, reason: RefusalReason): void {
+  private recordFailure(job: Job, peer: PeerAddress, reason: RefusalReason): void {
     const { metrics, log, reach } = this.options;
     const { group } = job.route;
     metrics.retries.inc({ reason: RetryReason.PeerUnreachable });
@@ -188,21 +199,21 @@
     reach.remove(group, peer.host as HostId);
   }
 
-  /** Other hosts to ask first, the best one first; none when this host does it itself. */
-  private detours(
+  /** Other hosts to try before the local attempt, best first; none if this host runs the work itself. */
+  private preferredPeers(
     { job, onlyPrimary }: Pick<Attempt<unknown>, 'job' | 'onlyPrimary'>,
     goesToPrimary: boolean,
     now: number,
   ): readonly PeerAddress[] {
     const { directory } = this.options;
     const { group } = job.route;
-    const reaching = goesToPrimary ? this.reachingPrimary(group, now) : [];
+    const reaching = goesToPrimary ? this.hostsReachingPrimary(group, now) : [];
     if (reaching.length > 0) return this.addresses(reaching);
     return this.addresses(directory.preferredHomes(group, job.workspace, onlyPrimary));
   }
 
-  /** Hosts that are known to reach the primary while this one misses it. */
-  private reachingPrimary(group: GroupId, now: number): readonly HostId[] {
+  /** Hosts that are known to reach the primary while this host does not. */
+  private hostsReachingPrimary(group: GroupId, now: number): readonly HostId[] {
     const { reach } = this.options;
     const home = this.options.home(group);
     return home.isPrimaryUnreachable(now)
@@ -215,8 +226,8 @@
     return hosts.map((host) => board.hosts.get(host)).filter((entry) => entry !== undefined);
   }
 
-  /** Whether this host knows no position behind which a replica could run the read. */
-  private lacksMark(job: Job): boolean {
+  /** Whether this host has no watermark recent enough to run the read on a replica. */
+  private lacksWatermark(job: Job): boolean {
     const { marks } = this.options.home(job.route.group);
     return marks.oldestSince(job.beganAt - job.route.maxStalenessMs) === undefined;
   }
@@ -226,19 +237,19 @@
   return route.consistency === Consistency.Primary;
 }
 
-/** Refusals by which an upstream or its queue is known to be full: another host would only add to that. */
-const FULL: ReadonlySet<RefusalReason> = new Set([
+/** Refusals because an upstream or its queue is full; forwarding to another host would only add to the load. */
+const FULL_UPSTREAM_REASONS: ReadonlySet<RefusalReason> = new Set([
   RefusalReason.ExpectedWait,
   RefusalReason.QueueFull,
   RefusalReason.DeadlineBeforeRun,
 ]);
 
-/** Whether the work has certainly not run, for a reason that another host may not have. */
-function couldGoElsewhere(
+/** Whether the work has certainly not run, for a reason that may not apply to another host. */
+function mayRunElsewhere(
   outcome: Outcome,
 ): outcome is Extract<Outcome, { readonly kind: 'refused' }> {
   if (outcome.kind !== 'refused') return false;
   const { reason } = outcome.refusal;
-  if (FULL.has(reason) || isExclusion(reason)) return false;
+  if (FULL_UPSTREAM_REASONS.has(reason) || isExclusion(reason)) return false;
   return executionStatusOf(outcome.refusal) === ExecutionStatus.No;
 }
--- a/packages/gateway/src/forward/watermark-exchange.ts
+++ b/packages/gateway/src/forward/watermark-exchange.ts
@@ -1,6 +1,7 @@
 /**
- * Fetches marks of a primary from homes that work for it. Where callers' work on the primary is done by
- * homes near it, the homes of other zones see none of its answers, and their reads would have to ask it.
+ * Fetches watermarks of a primary from the homes that send statements to it. Where work on the primary is forwarded
+ * to homes near it, the homes of other zones see none of its answers and get no watermarks of their own, and would
+ * have to send their reads to the primary.
  */
 import type { GroupId } from '@gladespool/coordination';
 import { Consistency, groupId, isNearUpstreams } from '@gladespool/coordination';
@@ -15,7 +16,7 @@
 import type { Outcome } from '../model/outcome.js';
 import type { PeerCalls } from '../peering/peer-calls.js';
 
-/** What the exchange works with. */
+/** Dependencies of the exchange. */
 export interface WatermarkExchangeOptions {
   readonly board: GatewayBoard;
   readonly directory: HomeDirectory;
@@ -24,48 +25,52 @@
 }
 
 /**
- * Part of the age that a read may show after which a newer mark is fetched: reads then find a mark as old as
- * two thirds of it, which replicas hold that lag by less.
+ * Age of the newest watermark at which another one is fetched, as a share of the maximum staleness of a read. Reads
+ * then find a watermark of up to two thirds of that staleness, which replicas with a smaller lag hold.
  */
 const FETCH_SHARE = 0.3;
-/** Least time between two questions, milliseconds: the primary may have had nothing to answer meanwhile. */
-const FETCH_PAUSE_MS = 100;
-/** Longest wait for a mark, milliseconds: two round trips between regions. */
+/** Minimum interval between two requests, milliseconds: the primary may have answered nothing in the meantime. */
+const MIN_FETCH_INTERVAL_MS = 100;
+/** Timeout of a request, milliseconds: two round trips between regions. */
 const FETCH_TIMEOUT_MS = 200;
 
-/** Both sides of the exchange on one host. */
+/** Requests watermarks from other hosts, and answers their requests. */
 export class WatermarkExchange implements PeerHandler {
   private readonly fetching = new Set<GroupId>();
-  private readonly askedAt = new Map<GroupId, number>();
+  private readonly requestedAt = new Map<GroupId, number>();
 
   constructor(private readonly options: WatermarkExchangeOptions) {}
 
-  /** Fetches a mark for reads like `job` where the newest one held is too old at `now`. */
+  /** Fetches a watermark if the newest one is too old at `now` for reads like `job`. */
   refreshIfStale({ route }: Job, now: number): void {
     const { directory, home } = this.options;
     const { group, consistency, maxStalenessMs } = route;
     if (consistency === Consistency.Primary || this.fetching.has(group)) return;
     if (!isNearUpstreams(directory.plan(group))) return;
     const newestAt = home(group).marks.newest?.sentAt ?? Number.NEGATIVE_INFINITY;
-    const askedAt = this.askedAt.get(group) ?? Number.NEGATIVE_INFINITY;
-    const isDue = now - newestAt > maxStalenessMs * FETCH_SHARE && now - askedAt > FETCH_PAUSE_MS;
-    if (isDue) void this.fetchMark(group);
+    const requestedAt = this.requestedAt.get(group) ?? Number.NEGATIVE_INFINITY;
+    const isDue =
+      now - newestAt > maxStalenessMs * FETCH_SHARE && now - requestedAt > MIN_FETCH_INTERVAL_MS;
+    if (isDue) void this.fetchWatermark(group);
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
     if (frame.kind !== FrameKind.WatermarkRequest) return;
     const { marks } = this.options.home(groupId(frame.group));
     const { newest } = marks;
-    const known = marks.currentEpoch === frame.epoch ? newest : undefined;
-    const mark = known && { position: known.position, ageMs: performance.now() - known.sentAt };
+    const newestOfEpoch = marks.currentEpoch === frame.epoch ? newest : undefined;
+    const mark = newestOfEpoch && {
+      position: newestOfEpoch.position,
+      ageMs: performance.now() - newestOfEpoch.sentAt,
+    };
     link.send({ kind: FrameKind.WatermarkReply, id: frame.id, ...(mark && { mark }) });
   }
 
   onLost(): void {
-    // A question that was lost with the link ends without an answer; the next read asks again.
+    // A request that is lost with its link ends without a reply; the next read sends another one.
   }
 
-  private async fetchMark(group: GroupId): Promise<void> {
+  private async fetchWatermark(group: GroupId): Promise<void> {
     const { board, directory, calls, home } = this.options;
     const record = board.record(group);
     const [nearest] = directory.homesOfPrimary(group);
@@ -73,7 +78,7 @@
     if (record === undefined || peer === undefined) return;
     this.fetching.add(group);
     const sentAt = performance.now();
-    this.askedAt.set(group, sentAt);
+    this.requestedAt.set(group, sentAt);
     const { epoch } = record;
     const answer = await calls.request(
       peer,
@@ -81,16 +86,16 @@
       FETCH_TIMEOUT_MS,
     );
     this.fetching.delete(group);
-    // Who does not answer is noted by the calls themselves; reads ask the primary meanwhile.
+    // The calls record unresponsive hosts themselves; until a watermark arrives, reads go to the primary.
     if (answer.isErr() || answer.value.kind !== FrameKind.WatermarkReply) return;
     const { mark } = answer.value;
     if (mark === undefined) return;
-    // The question was sent no later than it arrived, so the age counted from then is never too small.
+    // The age is counted from the time at which the request was sent, so it is never underestimated.
     home(group).addWatermark(record, sentAt - mark.ageMs, mark.position, performance.now());
   }
 }
 
-/** Runs work on this host's homes, and keeps the marks that its reads need. */
+/** Executor that refreshes the watermarks of a group before it runs a read on the local executor. */
 export class WatermarkRefreshingExecutor implements Executor {
   constructor(
     private readonly local: Executor,
--- a/packages/gateway/src/gateway-host.ts
+++ b/packages/gateway/src/gateway-host.ts
@@ -1,6 +1,6 @@
 /**
- * One gateway host: callers, homes and control around the board. Protocols and the platform come in
- * through interfaces.
+ * One gateway host: wires the caller server, the homes (connection pools of the groups), the routing and the
+ * control plane together around the shared board. Protocols and the platform are injected as interfaces.
  */
 import type { GroupId, Topology } from '@gladespool/coordination';
 import { SeededRandom } from '@gladespool/coordination';
@@ -34,10 +34,10 @@
 import { PromotionTracker } from './knowledge/promotion-tracker.js';
 import type { UpstreamDriver } from './model/upstream-driver.js';
 
-/** What a gateway host is made of. */
+/** Dependencies and settings of a gateway host. */
 export interface GatewayOptions {
   readonly self: HostEntry;
-  /** Where the zones of the deployment lie. */
+  /** Regions of the availability zones of the deployment. */
   readonly topology?: Topology;
   readonly callers: { readonly address: string; readonly port: number };
   readonly store: MetadataStore;
@@ -45,20 +45,19 @@
   readonly driver: UpstreamDriver;
   readonly promotions: PromotionPort;
   readonly createCodec: () => CallerCodec;
-  /** Shared by the hosts of one deployment; keeps links of others out. */
+  /** Secret shared by the hosts of one deployment; links from hosts without it are rejected. */
   readonly peerKey: Buffer;
-  /** Hosts to ask when the store can't be reached at the start; may be gone. */
+  /** Hosts to contact when the store is unreachable at startup; some of them may no longer exist. */
   readonly seeds: readonly PeerAddress[];
   readonly rules: GatewayRules;
   readonly metrics: HostMetrics;
-  /** Seed of every random choice of this host. */
+  /** Seed of the random number generator of this host. */
   readonly seed: number;
 }
 
-/** Time between two looks at what is due, milliseconds; far below the balancer's second. */
+/** Interval of the periodic checks, milliseconds; far below the load balancer's check interval of one second. */
 const TICK_MS = 200;
 
-/** A running gateway host. */
 export class GatewayHost {
   readonly board: GatewayBoard;
   private readonly log: Logger;
@@ -70,9 +69,9 @@
   private readonly callers: CallerServer;
   private readonly isolation: IsolationGuard;
   private timer: NodeJS.Timeout | undefined;
-  /** Runs the work of sessions, here or on another host. */
+  /** Runs the statements of sessions, on this host or on another one. */
   readonly routing: RoutedExecutor;
-  /** Admits operations of workspaces. */
+  /** Enforces the rate limits of workspaces. */
   readonly limits: OperationLimits;
 
   constructor(private readonly options: GatewayOptions) {
@@ -90,7 +89,7 @@
       directory: this.directory,
       home: (group) => this.executor.home(group),
     });
-    const local = this.createMarked();
+    const local = this.createWatermarkExecutor();
     this.control.network.addHandler(new ForwardService(local, this.board));
     this.routing = this.createRouting(local);
     this.limits = this.createLimits();
@@ -104,18 +103,18 @@
     });
   }
 
-  /** Whether what the store shows of the gateway's own documents can be relied on. */
+  /** Whether the gateway's own documents, as read from the store, can be relied on. */
   get isStoreSettled(): boolean {
     return this.control.isStoreSettled;
   }
 
-  /** Whether callers should come here at `now`. */
+  /** Whether the load balancer should route callers to this host at `now`. */
   isReady(now: number): boolean {
     if (this.board.draining || this.board.catalog === undefined) return false;
     return !this.isolation.isIsolated(now);
   }
 
-  /** Listens for callers and other hosts, and begins to follow the store. */
+  /** Listens for callers and other hosts, and starts watching the store. */
   async start(): Promise<void> {
     const { callers, self } = this.options;
     await this.callers.listen(callers.address, callers.port);
@@ -128,20 +127,22 @@
     this.log.info('started', { incarnation: self.incarnation, port: callers.port });
   }
 
-  /** Planned stop: callers end as they rest, then everything is given back. */
+  /**
+   * Planned stop: closes sessions as they become idle, then closes upstream connections and deregisters the host.
+   */
   async drain(): Promise<void> {
     this.log.info('draining');
     this.board.draining = true;
     clearInterval(this.timer);
     const { drain } = this.options.rules;
-    const leaveAt = performance.now() + drain.deregisterMs;
+    const deregisterAt = performance.now() + drain.deregisterMs;
     await this.callers.drain(drain);
     this.executor.stop();
-    await this.control.stop(leaveAt - performance.now());
+    await this.control.stop(deregisterAt - performance.now());
     this.log.info('stopped');
   }
 
-  /** Closes every link to other hosts, for good. */
+  /** Permanently closes the links to all other hosts. */
   closePeers(): Promise<void> {
     return this.control.network.stop();
   }
@@ -163,8 +164,8 @@
     });
   }
 
-  /** This host's homes; they learn of primaries from homes near these. */
-  private createMarked(): Executor {
+  /** Executor of this host's homes, which fetch watermarks of a primary from the homes near it. */
+  private createWatermarkExecutor(): Executor {
     const { board, directory, executor, control } = this;
     const { calls, network } = control;
     const home = (group: GroupId): GroupHome => executor.home(group);
@@ -231,14 +232,14 @@
   private createCallers(): CallerServer {
     const { createCodec, rules, self, metrics } = this.options;
     const log = createLogger('caller', { host: self.host });
-    const journal = new RequestRecorder(this.board, metrics, log);
+    const recorder = new RequestRecorder(this.board, metrics, log);
     return new CallerServer({
       session: {
         board: this.board,
         executor: this.routing,
         limits: this.limits,
         keys: rules.keys,
-        recorder: journal,
+        recorder,
       },
       createCodec,
       maxCallers: rules.maxCallers,
--- a/packages/gateway/src/gateway-rules.ts
+++ b/packages/gateway/src/gateway-rules.ts
@@ -1,5 +1,5 @@
 /**
- * Times and bounds of a gateway host.
+ * Settings of a gateway host: timeouts, limits and tolerances.
  */
 import type {
   FailoverRules,
@@ -12,15 +12,15 @@
 import type { DrainTimes } from './entry/caller-server.js';
 import type { HomeRules } from './home/group-home.js';
 
-/** By how much a cold upstream's limit may be exceeded in any second. */
+/** How far the statements sent to an upstream that is still warming up may exceed its limit in any second. */
 export interface WarmupTolerance {
-  /** Factor on the statements of a second. */
+  /** Factor applied to the limit of statements per second. */
   readonly overrun: number;
-  /** Statements on top of that. */
+  /** Statements allowed in addition. */
   readonly slack: number;
 }
 
-/** Rules of one host. */
+/** Settings of one gateway host. */
 export interface GatewayRules {
   readonly home: HomeRules;
   readonly sync: SyncRules;
@@ -28,15 +28,15 @@
   readonly retirement: RetirementRules;
   readonly lapse: ExpiryRules;
   readonly keys: KeyRules;
-  /** By how much workspaces may overrun their limits. */
+  /** How far workspaces may exceed their rate limits. */
   readonly tolerance: LimitTolerance;
-  /** By how much the statements of a cold upstream may exceed its limit. */
+  /** How far the statements sent to an upstream that is still warming up may exceed its limit. */
   readonly warmupTolerance: WarmupTolerance;
-  /** Time within which upstreams of an evacuated zone get no work any more, milliseconds. */
+  /** Time after the start of an evacuation by which upstreams of the zone receive no more work, milliseconds. */
   readonly evacuationMs: number;
   readonly drain: DrainTimes;
-  /** Callers' connections at most. */
+  /** Maximum number of caller connections. */
   readonly maxCallers: number;
-  /** Time in which a caller has to start its session, milliseconds. */
+  /** Time within which a caller has to send its start message, milliseconds. */
   readonly startTimeoutMs: number;
 }
--- a/packages/gateway/src/home/await-authority.ts
+++ b/packages/gateway/src/home/await-authority.ts
@@ -1,6 +1,6 @@
 /**
- * Holds a statement while the proof of the primary is being renewed or another primary takes over,
- * if that is expected to be over in time.
+ * Holds a statement while the proof of authority is being renewed or a new primary is being promoted, provided
+ * that this is expected to finish before the statement's deadline.
  */
 import { shouldHoldStatement } from '@gladespool/coordination';
 import { BoardSection } from '../knowledge/board.js';
@@ -8,14 +8,14 @@
 import type { Job } from './job.js';
 import { primaryExclusion } from './upstream-exclusion.js';
 
-/** Longest wait before the authority is looked at again, milliseconds. */
-const REVIEW_MS = 25;
+/** Longest wait before the authority is checked again, milliseconds. */
+const RECHECK_MS = 25;
 
 /**
- * Waits until the primary may be used and answers, for as long as that is expected to happen in time
- * for the statement.
+ * Waits until the primary may be used and is reachable, for as long as that is expected to happen before the
+ * statement's deadline.
  *
- * @returns false as soon as waiting is not worth it, or when another host can run the statement.
+ * @returns false as soon as waiting is no longer expected to succeed, or when another host can run the statement.
  */
 export async function awaitAuthority(home: GroupHome, job: Job, now: number): Promise<boolean> {
   const { timeoutMs } = job.route;
@@ -25,7 +25,7 @@
     if (home.isPrimaryUnreachable(time) && home.canForwardToPrimary(time)) return false;
     const expectedAt = home.expectedPrimaryAt(time);
     if (!shouldHoldStatement(expectedAt, job.arrivedAt, timeoutMs)) return false;
-    await recordChange(home, REVIEW_MS);
+    await waitForRecordChange(home, RECHECK_MS);
   }
 }
 
@@ -36,7 +36,7 @@
   return home.hasAuthority(now) && !context.holds.isHeld(home.group, now);
 }
 
-function recordChange(home: GroupHome, timeoutMs: number): Promise<void> {
+function waitForRecordChange(home: GroupHome, timeoutMs: number): Promise<void> {
   return new Promise((resolve) => {
     const done = (): void => {
       clearTimeout(timer);
--- a/packages/gateway/src/home/deposition-tracker.ts
+++ b/packages/gateway/src/home/deposition-tracker.ts
@@ -1,31 +1,32 @@
 /**
- * Whether the upstream that a record names as the primary has itself shown that it leads no more. A proof tells
- * only what the record says: a promotion that nobody of the hosts waited for deposes a primary all the same.
+ * Tracks whether the upstream that a record names as primary has itself shown that it is no longer primary. A valid
+ * proof only confirms that the record is current: a promotion that none of the hosts waited for deposes the primary
+ * all the same.
  */
 import type { PrimaryRecord } from '@gladespool/coordination';
 
-/** What one host knows of the primary of one group. */
+/** Deposition of the primary of one group, as observed by one host. */
 export class DepositionTracker {
-  private denied: { readonly epoch: number; readonly since: number } | undefined;
+  private deposed: { readonly epoch: number; readonly since: number } | undefined;
 
-  /** Since when the primary of `record` has shown that it leads no more; undefined while it has not. */
+  /** Local time at which the primary of `record` was first seen to be deposed; undefined if it was not. */
   deposedSince(record: PrimaryRecord | undefined): number | undefined {
-    return this.denied?.epoch === record?.epoch ? this.denied?.since : undefined;
+    return this.deposed?.epoch === record?.epoch ? this.deposed?.since : undefined;
   }
 
   /**
-   * Notes at `now` that the primary of `record` leads no more.
+   * Records at `now` that the primary of `record` is deposed.
    *
-   * @returns whether that is news
+   * @returns false if that was recorded before
    */
   noteDeposed(record: PrimaryRecord, now: number): boolean {
     if (this.deposedSince(record) !== undefined) return false;
-    this.denied = { epoch: record.epoch, since: now };
+    this.deposed = { epoch: record.epoch, since: now };
     return true;
   }
 
-  /** Notes that the primary of `record` says that it leads. */
+  /** Records that the primary of `record` has reported the primary role. */
   notePrimaryConfirmed(record: PrimaryRecord): void {
-    if (this.deposedSince(record) !== undefined) this.denied = undefined;
+    if (this.deposedSince(record) !== undefined) this.deposed = undefined;
   }
 }
--- a/packages/gateway/src/home/exchange.ts
+++ b/packages/gateway/src/home/exchange.ts
@@ -1,6 +1,6 @@
 /**
- * One exchange of a statement with an upstream: borrow a connection, set it up, send, note what was
- * seen.
+ * One exchange with an upstream: borrows a connection, sets it up, sends a command, and records what the answer
+ * shows of the upstream's health, role and log position.
  */
 import type { Position, PrimaryRecord } from '@gladespool/coordination';
 import {
@@ -24,101 +24,98 @@
 import { exclusionOf } from './upstream-exclusion.js';
 import type { UpstreamPool } from './upstream-pool.js';
 
-/** A connection that was borrowed and set up. */
+/** A connection that has been borrowed from a pool and set up for a statement. */
 export interface BorrowedConnection {
   readonly lease: Lease<PreparedConnection>;
   readonly pool: UpstreamPool;
-  /** Record in force when the connection was borrowed. */
+  /** Primary record in force when the connection was borrowed. */
   readonly record: PrimaryRecord | undefined;
 }
 
-/** An answer with the time at which its question was sent. */
+/** An answer with the local time at which its command was sent. */
 export interface TimedAnswer {
   readonly answer: UpstreamAnswer;
   readonly sentAt: number;
 }
 
-/** Least time left for which an exchange is started, milliseconds. */
-const LEAST_EXCHANGE_MS = 2;
+/** Minimum remaining time for which an exchange is started, milliseconds. */
+const MIN_EXCHANGE_MS = 2;
 /**
- * Part of an operation's target latency that a statement may wait for a connection. Longer waits
- * seldom end in time, and the caller does better to ask again elsewhere.
+ * Share of an operation's target latency that a statement may wait for a connection. Longer waits rarely end in
+ * time, and a retry on another host serves the caller better.
  */
-const WAIT_SHARE = 0.6;
+const MAX_WAIT_SHARE = 0.6;
 
-/** Borrows a connection and sets it up; nothing of the statement has run when that fails. */
+/** Borrows a connection and sets it up; if that fails, no part of the statement has run. */
 export async function borrow(
   home: GroupHome,
-  slot: UpstreamPool,
+  pool: UpstreamPool,
   job: Job,
   work: Work | undefined,
 ): Promise<Result<BorrowedConnection, RefusalReason>> {
   const { record } = home;
   const now = performance.now();
   const leftMs = job.arrivedAt + job.route.timeoutMs - now;
-  const waitMs = Math.min(leftMs, job.route.targetLatencyMs * WAIT_SHARE);
-  if (waitMs < LEAST_EXCHANGE_MS) return err(RefusalReason.DeadlineBeforeRun);
-  const excluded = exclusionOf(home, slot.entry, job, now);
+  const waitMs = Math.min(leftMs, job.route.targetLatencyMs * MAX_WAIT_SHARE);
+  if (waitMs < MIN_EXCHANGE_MS) return err(RefusalReason.DeadlineBeforeRun);
+  const excluded = exclusionOf(home, pool.entry, job, now);
   if (excluded !== undefined) return err(excluded);
   const priority = poolPriority(job.route.priority);
-  const leased = await slot.acquire(priority, now, waitMs, job.workspace);
+  const leased = await pool.acquire(priority, now, waitMs, job.workspace);
   if (leased.isErr()) return err(leased.error);
   const lease = leased.value;
-  // The wait for a connection may have outlasted the time that an evacuation leaves.
-  const excludedMeanwhile = exclusionOf(home, slot.entry, job, performance.now());
+  // The zone of the upstream may have been evacuated while the statement waited for a connection.
+  const excludedMeanwhile = exclusionOf(home, pool.entry, job, performance.now());
   if (excludedMeanwhile !== undefined) {
     lease.release();
     return err(excludedMeanwhile);
   }
-  const failed = await lease.connection.setUp(
-    job.values,
-    work,
-    Math.max(LEAST_EXCHANGE_MS, leftMs),
-  );
-  if (failed === undefined) return ok({ lease, pool: slot, record });
-  noteAnswer(slot, failed, performance.now(), undefined);
+  const failed = await lease.connection.setUp(job.values, work, Math.max(MIN_EXCHANGE_MS, leftMs));
+  if (failed === undefined) return ok({ lease, pool, record });
+  recordHealth(pool, failed, performance.now(), undefined);
   lease.connection.close();
   lease.release();
   return err(RefusalReason.UpstreamUnreachable);
 }
 
-/** Sends one command on a borrowed connection and notes what the answer tells. */
+/** Sends one command on a borrowed connection, and records the answer. */
 export async function send(
   home: GroupHome,
   borrowed: BorrowedConnection,
   command: UpstreamCommand,
   timeoutMs: number,
 ): Promise<TimedAnswer> {
-  const { lease, pool: slot, record } = borrowed;
+  const { lease, pool, record } = borrowed;
   const sentAt = performance.now();
-  const floor = home.primaryFloor(slot.entry.id);
-  const isBehindTold = isBehind(command, home.knownPosition(record));
-  slot.health.inFlight += 1;
-  const told = await lease.connection.exchange(command, Math.max(LEAST_EXCHANGE_MS, timeoutMs));
-  slot.health.inFlight -= 1;
+  const floor = home.primaryFloor(pool.entry.id);
+  const requiresLatest = requiresPosition(command, home.knownPosition(record));
+  pool.health.inFlight += 1;
+  const received = await lease.connection.exchange(command, Math.max(MIN_EXCHANGE_MS, timeoutMs));
+  pool.health.inFlight -= 1;
   const now = performance.now();
-  const answer = answerOrLoss(home, borrowed, told, floor);
-  noteAnswer(slot, answer, now, now - sentAt);
-  const fromPrimary = record?.primary === slot.entry.id;
-  if (fromPrimary) noteLead(home, record, isBehindTold, answer, now);
+  const answer = answerOrLoss(home, borrowed, received, floor);
+  recordHealth(pool, answer, now, now - sentAt);
+  const fromPrimary = record?.primary === pool.entry.id;
+  if (fromPrimary) recordDeposition(home, record, requiresLatest, answer, now);
   if (fromPrimary) home.recordWatermark(record, sentAt, answer, now);
-  noteRun(home, borrowed, command, answer, sentAt, now);
+  recordStatement(home, borrowed, command, answer, sentAt, now);
   return { answer, sentAt };
 }
 
-/** Whether what a borrowed connection tells at `now` counts as told by the primary. */
+/** Whether an answer that arrives on a borrowed connection at `now` counts as an answer of the primary. */
 export function isValidPrimaryAnswer(
   home: GroupHome,
-  { record, pool: slot }: BorrowedConnection,
+  { record, pool }: BorrowedConnection,
   now: number,
 ): boolean {
-  return record !== undefined && home.isAnswerValid(record, slot.entry.id, now);
+  return record !== undefined && home.isAnswerValid(record, pool.entry.id, now);
 }
 
 /**
- * Position that an upstream must hold for a read or a transaction: what its replicas have to show, or at the
- * primary all that it has told under the record. One that was deposed and has dropped commits refuses then
- * where it runs the statement, whatever the hosts believe.
+ * Log position that an upstream must hold for a read or a transaction: the highest position that the primary has
+ * reported under the record if the target needs the primary, else the position that the read requires. On this
+ * condition an upstream that was deposed and has dropped commits refuses the statement itself, even if the hosts
+ * still take it for the primary.
  */
 export function requiredPosition(
   home: GroupHome,
@@ -128,17 +125,17 @@
   return needsAuthority ? home.knownPosition(record) : after;
 }
 
-/** Whether a command runs only where all is held that the primary has `told`. */
-function isBehind(command: UpstreamCommand, told: Position | undefined): boolean {
+/** Whether a command requires the position `reported`, the highest that the primary has reported. */
+function requiresPosition(command: UpstreamCommand, reported: Position | undefined): boolean {
   const after = 'after' in command ? command.after : undefined;
-  return after !== undefined && told !== undefined && comparePositions(after, told) === 0;
+  return after !== undefined && reported !== undefined && comparePositions(after, reported) === 0;
 }
 
-/** Notes if the primary of `record` shows by its answer that it leads no more. */
-function noteLead(
+/** Records that the primary of `record` is deposed, if its answer shows so. */
+function recordDeposition(
   home: GroupHome,
   record: PrimaryRecord,
-  isBehindTold: boolean,
+  requiresLatest: boolean,
   answer: UpstreamAnswer,
   now: number,
 ): void {
@@ -146,29 +143,32 @@
   if (answer.fault === UpstreamFault.ReadOnly) {
     home.noteDeposed(record, DepositionEvidence.ReadOnly, now);
   }
-  if (answer.fault === UpstreamFault.Lagging && isBehindTold) {
+  if (answer.fault === UpstreamFault.Lagging && requiresLatest) {
     home.noteDeposed(record, DepositionEvidence.Position, now);
   }
 }
 
 /**
- * The answer, or a loss in its place if the upstream no longer holds what it held when it was asked: what
- * it says then counts as little as silence.
+ * Returns the answer, or a loss in its place if the upstream no longer holds the log that it held when the
+ * command was sent: its answer is then treated like a lost connection.
  */
 function answerOrLoss(
   home: GroupHome,
-  { lease, pool: slot }: BorrowedConnection,
+  { lease, pool }: BorrowedConnection,
   answer: UpstreamAnswer,
   floor: Position | undefined,
 ): UpstreamAnswer {
   if (answer.kind === 'lost') return answer;
-  if (!home.detectLogLoss(slot.entry.id, floor, answer.position)) return answer;
+  if (!home.detectLogLoss(pool.entry.id, floor, answer.position)) return answer;
   lease.connection.close();
   return { kind: 'lost', loss: ConnectionLoss.Closed };
 }
 
-/** Counts and tells where a caller's statement ran, behind and at which position, under which record and proof, and its end. */
-function noteRun(
+/**
+ * Counts and logs a caller's statement: the upstream, the required and the reported position, the epoch of the
+ * record, the age of the proof, and the result.
+ */
+function recordStatement(
   home: GroupHome,
   borrowed: BorrowedConnection,
   command: UpstreamCommand,
@@ -177,8 +177,8 @@
   now: number,
 ): void {
   if (!('id' in command)) return;
-  const { record, pool: slot } = borrowed;
-  const isPrimary = record?.primary === slot.entry.id;
+  const { record, pool } = borrowed;
+  const isPrimary = record?.primary === pool.entry.id;
   if (answer.kind === 'completed') {
     const servedBy = isPrimary ? ServedBy.Primary : ServedBy.Replica;
     home.context.metrics.statements.inc({ served_by: servedBy });
@@ -187,18 +187,18 @@
   home.context.log.info('statement-ran', {
     request: command.id,
     group: home.group,
-    upstream: slot.entry.id,
+    upstream: pool.entry.id,
     primary: isPrimary,
     epoch: record?.epoch,
     after: after && formatPosition(after),
     at: answer.kind === 'lost' ? undefined : answer.position && formatPosition(answer.position),
-    end: endOf(answer),
+    end: resultText(answer),
     ms: Math.round(now - sentAt),
     proof_age_ms: isPrimary ? Math.round(now - home.context.board.latestProofAt) : undefined,
   });
 }
 
-function endOf(answer: UpstreamAnswer): string {
+function resultText(answer: UpstreamAnswer): string {
   switch (answer.kind) {
     case 'completed':
       return answer.kind;
@@ -209,13 +209,13 @@
   }
 }
 
-function noteAnswer(
-  slot: UpstreamPool,
+function recordHealth(
+  pool: UpstreamPool,
   answer: UpstreamAnswer,
   now: number,
   tookMs: number | undefined,
 ): void {
-  const { health } = slot;
+  const { health } = pool;
   if (answer.kind === 'lost') {
     health.noteFailure(now, now - (tookMs ?? 0));
     return;
--- a/packages/gateway/src/home/group-home.ts
+++ b/packages/gateway/src/home/group-home.ts
@@ -1,6 +1,7 @@
 /**
- * One group's home: connections to its upstreams, marks of its primary, and the choice of where a
- * statement may run.
+ * Home of one group: the connection pools of its upstreams, the watermarks of its primary, and the choice of the
+ * upstream that a statement runs on. A watermark is a log position that the primary reported, together with the time
+ * at which it was asked; a replica that holds this position shows no older data than of that time.
  */
 import type {
   AuthorityRules,
@@ -44,33 +45,36 @@
 import { DepositionTracker } from './deposition-tracker.js';
 import { UpstreamPool } from './upstream-pool.js';
 
-/** Longer than a connection that is lost and opened anew, milliseconds. */
-const MISSED_AFTER_MS = 150;
 /**
- * Connections to one upstream of a host that is no home of the group. It opens them while no home
- * serves it, and the homes' share of the budget leaves little room for them.
+ * Time for which the primary has to fail before it counts as unreachable, milliseconds: longer than it takes to
+ * replace a lost connection.
+ */
+const UNREACHABLE_AFTER_MS = 150;
+/**
+ * Connections per upstream on a host that is not a home of the group. It opens them while no home is available to
+ * it, and the connections reserved for homes leave little of the upstream's budget.
  */
 const FALLBACK_CONNECTIONS = 1;
 /**
- * Time after which such a connection is closed when nobody uses it, milliseconds: longer than a home's
- * restart, so that it is not opened again and again meanwhile.
+ * Idle time after which such a connection is closed, milliseconds: longer than the restart of a home, so that it
+ * is not reopened repeatedly in the meantime.
  */
 const FALLBACK_IDLE_MS = 1000;
-/** Callers that are refused alike are told to come back over this part more of the time, not all at once. */
-const RETURN_SPREAD = 0.5;
+/** Maximum jitter added to the retry time, as a share of it, so that refused callers do not all retry at once. */
+const RETRY_JITTER = 0.5;
 
-/** Times and bounds of homes. */
+/** Timeouts and limits of homes. */
 export interface HomeRules {
   readonly authority: AuthorityRules;
-  /** Longest time for opening a connection to an upstream, milliseconds. */
+  /** Timeout for opening a connection to an upstream, milliseconds. */
   readonly connectTimeoutMs: number;
-  /** Statements waiting for a connection to one upstream at most. */
+  /** Maximum number of statements waiting for a connection to one upstream. */
   readonly maxWaiting: number;
-  /** Usual times of the parts of a gap without a primary, but for the promotion, which is observed. */
+  /** Expected durations of the phases of a primary outage, except for the promotion, whose duration is observed. */
   readonly gap: Omit<OutageEstimates, 'promotionMs'>;
 }
 
-/** What every home of a host shares. */
+/** Dependencies and settings that all homes of a host share. */
 export interface HomeContext {
   readonly board: GatewayBoard;
   readonly driver: UpstreamDriver;
@@ -80,79 +84,79 @@
   readonly directory: HomeDirectory;
   readonly reach: ReachabilityReports;
   readonly random: RandomSource;
-  /** Time within which upstreams of an evacuated zone get no work any more, milliseconds. */
+  /** Time after the start of an evacuation by which upstreams of the zone receive no more work, milliseconds. */
   readonly evacuationMs: number;
   readonly metrics: HostMetrics;
   readonly log: Logger;
 }
 
-/** An open transaction as its home watches it. */
+/** An open transaction that its home ends when the zone of its upstream is evacuated. */
 export interface WatchedTransaction {
-  /** Ends the transaction if it may not go on at `now`. */
+  /** Ends the transaction if the evacuation of its zone no longer permits it at `now`. */
   endIfEvacuated(now: number): void;
 }
 
-/** Connections and knowledge of one group on one host. */
+/** Connections to one group's upstreams, and the state of the group as observed by one host. */
 export class GroupHome {
   readonly marks = new WatermarkLog();
-  /** Transactions that are open on upstreams of the group. */
+  /** Open transactions on upstreams of the group. */
   readonly transactions = new Set<WatchedTransaction>();
-  private readonly slots = new Map<UpstreamId, UpstreamPool>();
-  private readonly lead = new DepositionTracker();
+  private readonly pools = new Map<UpstreamId, UpstreamPool>();
+  private readonly deposition = new DepositionTracker();
 
   constructor(
     readonly group: GroupId,
     readonly context: HomeContext,
   ) {}
 
-  /** Record of the group's primary, as this host has it. */
+  /** Primary record of the group, as known to this host. */
   get record(): PrimaryRecord | undefined {
     return this.context.board.record(this.group);
   }
 
-  /** Whether the primary of the record may be used at `now`. */
+  /** Whether this host may use the primary of the record at `now`. */
   hasAuthority(now: number): boolean {
     const { board, rules } = this.context;
     if (this.deposedSince !== undefined) return false;
     return hasAuthority(board.authority(this.group), now, rules.authority);
   }
 
-  /** Local time since which the primary of the record has shown that it leads no more; undefined while it leads. */
+  /** Local time at which the primary of the record was first seen to be deposed; undefined if it was not. */
   get deposedSince(): number | undefined {
-    return this.lead.deposedSince(this.record);
+    return this.deposition.deposedSince(this.record);
   }
 
-  /** Notes at `now` that the primary of `record` has shown that it leads no more. */
+  /** Records at `now` that an answer of the primary of `record` shows that it is no longer primary. */
   noteDeposed(record: PrimaryRecord, evidence: DepositionEvidence, now: number): void {
-    // A former primary, that a claim still names as well, need not lead.
+    // A claimed record still names the former primary, which need not be primary any more.
     const isInForce = record.epoch === this.record?.epoch && record.phase === RecordPhase.Serving;
-    if (!isInForce || !this.lead.noteDeposed(record, now)) return;
+    if (!isInForce || !this.deposition.noteDeposed(record, now)) return;
     const { metrics, log } = this.context;
     metrics.primariesDeposed.inc({ evidence });
     const { group, primary, epoch } = record;
     log.warn('primary-deposed', { group, upstream: primary, epoch, evidence });
   }
 
-  /** Notes that the primary of `record` says that it leads. */
+  /** Records that the primary of `record` has reported the primary role. */
   notePrimaryConfirmed(record: PrimaryRecord): void {
-    this.lead.notePrimaryConfirmed(record);
+    this.deposition.notePrimaryConfirmed(record);
   }
 
-  /** Whether the primary has failed this host for so long that it is better asked by way of others. */
+  /** Whether the primary has failed here for so long that statements are better forwarded to other hosts. */
   isPrimaryUnreachable(now: number): boolean {
     const { record } = this;
     const since = record && this.pool(record.primary)?.health.failingSince;
-    return since !== undefined && now - since >= MISSED_AFTER_MS;
+    return since !== undefined && now - since >= UNREACHABLE_AFTER_MS;
   }
 
-  /** Local time at which the primary, which can't be used at `now`, is expected to be usable. */
+  /** Local time at which the primary, which cannot be used at `now`, is expected to be usable again. */
   expectedPrimaryAt(now: number): number {
     const { board, rules, pace } = this.context;
     const { record } = this;
     const { proofTtlMs } = rules.authority;
-    const lapsedAt = Math.max(board.latestProofAt + proofTtlMs, pace.startedAt);
+    const proofExpiredAt = Math.max(board.latestProofAt + proofTtlMs, pace.startedAt);
     const view = {
-      unprovedSince: board.isIsolated(now, rules.authority) ? lapsedAt : undefined,
+      unprovedSince: board.isIsolated(now, rules.authority) ? proofExpiredAt : undefined,
       claimedAt: pace.claimedAt(this.group),
       failingSince: this.deposedSince ?? (record && this.pool(record.primary)?.health.failingSince),
     };
@@ -160,32 +164,32 @@
     return expectedOutageEnd(view, { promotionMs, ...rules.gap }, now);
   }
 
-  /** Refusal of work that needs the primary while there is none to use, with when to come back. */
+  /** Refusal of work that needs the primary while none is usable, with the time after which to retry. */
   refuseWithoutPrimary(reason: RefusalReason, now: number): Refusal {
     const waitMs = this.expectedPrimaryAt(now) - now;
     return { ...refuse(reason, this.group), retryAfterMs: this.retryAfterWithJitter(waitMs) };
   }
 
-  /** When a caller that is to wait for `waitMs` is told to come back, milliseconds from now. */
+  /** Time after which a caller is told to retry: `waitMs` plus jitter, milliseconds. */
   retryAfterWithJitter(waitMs: number): number {
-    const spread = 1 + RETURN_SPREAD * this.context.random.unit();
+    const spread = 1 + RETRY_JITTER * this.context.random.unit();
     return Math.ceil(waitMs * spread);
   }
 
-  /** Whether another host is known to reach the primary. */
+  /** Whether another host is known to reach the primary, so that work can be forwarded to it. */
   canForwardToPrimary(now: number): boolean {
     return this.context.reach.hostsReaching(this.group, this.record?.epoch, now).length > 0;
   }
 
-  /** Whether an answer of an upstream that arrived at `now` counts as that of the primary. */
+  /** Whether an answer of an upstream that arrived at `now` counts as an answer of the primary. */
   isAnswerValid(sentUnder: PrimaryRecord, answeredBy: UpstreamId, now: number): boolean {
     const { board, rules } = this.context;
-    if (this.lead.deposedSince(sentUnder) !== undefined) return false;
+    if (this.deposition.deposedSince(sentUnder) !== undefined) return false;
     const view = board.authority(this.group);
     return isAnswerValid(sentUnder, answeredBy, view, now, rules.authority);
   }
 
-  /** Notes where the primary stood by an answer to a question sent at `sentAt`, if the answer counts. */
+  /** Adds a watermark from an answer to a command sent at `sentAt`, if it counts as an answer of the primary. */
   recordWatermark(
     sentUnder: PrimaryRecord,
     sentAt: number,
@@ -196,32 +200,36 @@
     this.addWatermark(sentUnder, sentAt, answer.position, now);
   }
 
-  /** Adds a mark: where the primary stood at `takenAt`, as this host or another one saw it under `record`. */
+  /** Adds a watermark: the position of the primary of `record` at `takenAt`, as observed by this or another host. */
   addWatermark(record: PrimaryRecord, takenAt: number, position: Position, now: number): void {
     if (!this.isAnswerValid(record, record.primary, now)) return;
     this.marks.startEpoch(record.epoch);
     this.marks.add({ sentAt: takenAt, position });
   }
 
-  /** Furthest position that the primary of `record` has told under it; undefined while it has told none. */
+  /** Highest position that the primary of `record` has reported under it; undefined if it has reported none. */
   knownPosition(record: PrimaryRecord | undefined): Position | undefined {
     return record?.epoch === this.marks.currentEpoch ? this.marks.highest : undefined;
   }
 
   /**
-   * Position that an upstream had reached for sure when this is called, and is never behind again under
-   * the record in force; undefined for all but the primary, and where upstreams tell no births.
+   * Lower bound of the log position of an upstream, which it never falls below under the record in force.
+   * Undefined for all upstreams but the primary, and where upstreams do not report the time of their start.
    */
   primaryFloor(id: UpstreamId): Position | undefined {
     const { record } = this;
     if (record?.primary !== id) return undefined;
-    const tellsBirth = this.context.board.upstreams.get(id)?.born !== undefined;
-    return tellsBirth ? this.knownPosition(record) : undefined;
+    const reportsStartTime = this.context.board.upstreams.get(id)?.born !== undefined;
+    return reportsStartTime ? this.knownPosition(record) : undefined;
   }
 
-  /** Whether an upstream has told a position behind `floor`, so that it has lost its log; if so, counts and logs it. */
-  detectLogLoss(id: UpstreamId, floor: Position | undefined, told: Position | undefined): boolean {
-    if (!hasRegressed(floor, told)) return false;
+  /** Whether an upstream has reported a position below `floor`, and so has lost its log; counts and logs this. */
+  detectLogLoss(
+    id: UpstreamId,
+    floor: Position | undefined,
+    reported: Position | undefined,
+  ): boolean {
+    if (!hasRegressed(floor, reported)) return false;
     const { metrics, log } = this.context;
     metrics.upstreamRestarts.inc({ evidence: RestartEvidence.Position });
     log.warn('primary-went-back', {
@@ -229,27 +237,27 @@
       upstream: id,
       epoch: this.record?.epoch,
       floor: floor && formatPosition(floor),
-      told: told && formatPosition(told),
+      told: reported && formatPosition(reported),
     });
     return true;
   }
 
-  /** The slot of an upstream; undefined when it is not registered. */
+  /** The pool of an upstream; undefined if the upstream is not registered. */
   pool(id: UpstreamId): UpstreamPool | undefined {
     const entry = this.context.board.upstreams.get(id);
     if (entry?.group !== this.group) return undefined;
-    const held = this.slots.get(id);
-    if (held !== undefined && isSameSlot(held.entry, entry)) {
+    const held = this.pools.get(id);
+    if (held !== undefined && canKeepPool(held.entry, entry)) {
       held.update(entry);
       return held;
     }
-    if (held !== undefined) this.retire(held, entry);
-    const slot = this.openSlot(entry);
-    this.slots.set(id, slot);
-    return slot;
+    if (held !== undefined) this.dropPool(held, entry);
+    const pool = this.openPool(entry);
+    this.pools.set(id, pool);
+    return pool;
   }
 
-  /** The upstream that serves a read best, of those that pass `isAllowed`. */
+  /** Chooses the best upstream for a read among those that `isAllowed` accepts. */
   choose(
     isAllowed: (entry: UpstreamEntry) => boolean,
     job: Pick<Job, 'route' | 'workspace'>,
@@ -259,65 +267,65 @@
     const primary = this.record?.primary;
     const entries = board.upstreamsOf(this.group).filter(isAllowed);
     const loads = entries.map((entry) => {
-      const slot = this.pool(entry.id);
+      const pool = this.pool(entry.id);
       return {
         id: entry.id,
         isPrimary: entry.id === primary,
         distance: board.topology.distance(board.az, entry.az),
-        inFlight: slot?.load ?? 0,
-        meanMs: slot?.health.meanMs ?? 0,
-        availability: slot?.reuseFor(job.workspace) ?? ConnectionAvailability.CanOpen,
-        avoidUntil: slot?.health.avoidUntil ?? now,
+        inFlight: pool?.load ?? 0,
+        meanMs: pool?.health.meanMs ?? 0,
+        availability: pool?.availabilityFor(job.workspace) ?? ConnectionAvailability.CanOpen,
+        avoidUntil: pool?.health.avoidUntil ?? now,
       };
     });
     const chosen = chooseUpstream(loads, job.route.targetLatencyMs, now, random);
     return entries.find((entry) => entry.id === chosen);
   }
 
-  /** Fits pools to the hosts that live now, and drops those of upstreams that are gone or started anew. */
+  /** Resizes the pools for the hosts that are alive now, and drops those of removed or restarted upstreams. */
   refreshPools(): void {
     const { board } = this.context;
-    for (const [id, held] of [...this.slots]) {
+    for (const [id, held] of [...this.pools]) {
       if (board.upstreams.has(id)) {
-        const slot = this.pool(id);
-        slot?.resize(this.limitsFor(slot.entry));
+        const pool = this.pool(id);
+        pool?.resize(this.limitsFor(pool.entry));
         continue;
       }
       held.stop();
-      this.slots.delete(id);
+      this.pools.delete(id);
     }
   }
 
   /**
-   * Ends transactions that may not go on at `now`, and gives back connections that this host opened for
-   * want of a home and does not use.
+   * Ends the transactions that an evacuation no longer permits at `now`, and closes idle connections that this host
+   * opened while no home was available.
    */
   tick(now: number): void {
     for (const transaction of [...this.transactions]) transaction.endIfEvacuated(now);
     if (this.context.directory.isHome(this.group)) return;
-    for (const slot of this.slots.values()) slot.closeIdle(now - FALLBACK_IDLE_MS);
+    for (const pool of this.pools.values()) pool.closeIdle(now - FALLBACK_IDLE_MS);
   }
 
-  /** Closes every idle connection; those in use close as they come back. */
+  /** Closes idle connections; those in use are closed when they are released. */
   stop(): void {
-    for (const slot of this.slots.values()) slot.stop();
+    for (const pool of this.pools.values()) pool.stop();
   }
 
-  /** Drops what is held of an upstream that is at another address, or is another one under its id. */
-  private retire(held: UpstreamPool, told: UpstreamEntry): void {
+  /** Drops the pool of an upstream whose address has changed, or that has restarted without its data under its id. */
+  private dropPool(held: UpstreamPool, entry: UpstreamEntry): void {
     held.stop();
-    if (mayBeSameUpstream(held.entry, told)) return;
+    if (mayBeSameUpstream(held.entry, entry)) return;
     const { metrics, log } = this.context;
     metrics.upstreamRestarts.inc({ evidence: RestartEvidence.Entry });
     log.info('upstream-born-anew', {
       group: this.group,
-      upstream: told.id,
-      born: told.born,
+      upstream: entry.id,
+      born: entry.born,
       former_born: held.entry.born,
     });
   }
 
-  private openSlot(entry: UpstreamEntry): UpstreamPool {
+  private openPool(entry: UpstreamEntry): UpstreamPool {
     const { driver, rules, metrics } = this.context;
     return new UpstreamPool(entry, {
       group: this.group,
@@ -325,17 +333,17 @@
       limits: this.limitsFor(entry),
       connectTimeoutMs: rules.connectTimeoutMs,
       floor: () => this.primaryFloor(entry.id),
-      detectLogLoss: (floor, told) => this.detectLogLoss(entry.id, floor, told),
+      detectLogLoss: (floor, reported) => this.detectLogLoss(entry.id, floor, reported),
       onConnected: () => {
         metrics.upstreamConnections.inc();
       },
       onConnectFailure: (error) => {
-        this.noteConnectFailure(entry, error);
+        this.recordConnectFailure(entry, error);
       },
     });
   }
 
-  private noteConnectFailure(entry: UpstreamEntry, error: GladespoolError): void {
+  private recordConnectFailure(entry: UpstreamEntry, error: GladespoolError): void {
     const { metrics, log } = this.context;
     metrics.retries.inc({ reason: RetryReason.ConnectFailed });
     const { step, peer, message } = error;
@@ -358,14 +366,14 @@
   }
 }
 
-/** Pool class of a route's priority number; the pool knows three. */
+/** Maps a route's priority number to one of the three priority classes of the pool. */
 export function poolPriority(priority: number): Priority {
   if (priority <= 1) return Priority.Outcome;
   return priority === 2 ? Priority.Interactive : Priority.Background;
 }
 
-/** Whether what is held of an upstream serves its newer entry as well. */
-function isSameSlot(held: UpstreamEntry, told: UpstreamEntry): boolean {
-  const sameAddress = held.address === told.address && held.port === told.port;
-  return sameAddress && mayBeSameUpstream(held, told);
+/** Whether the pool opened for an upstream's former entry also serves its newer one. */
+function canKeepPool(held: UpstreamEntry, entry: UpstreamEntry): boolean {
+  const sameAddress = held.address === entry.address && held.port === entry.port;
+  return sameAddress && mayBeSameUpstream(held, entry);
 }
--- a/packages/gateway/src/home/job.ts
+++ b/packages/gateway/src/home/job.ts
@@ -1,5 +1,5 @@
 /**
- * What a session hands to a home, and what it gets back.
+ * Jobs that sessions submit, and the interface of the executors that run them.
  */
 import type { PermittedRegions, SessionPosition, WorkspaceId } from '@gladespool/coordination';
 import type { Result } from 'neverthrow';
@@ -8,21 +8,21 @@
 import type { Work } from '../model/statement.js';
 import type { SessionValues } from './prepared-connection.js';
 
-/** One single statement, or the begin of a transaction. */
+/** What a single statement and the begin of a transaction have in common. */
 export interface Job {
   readonly route: Route;
-  /** Workspace that the caller acts for; undefined where none is asked for. */
+  /** Workspace that the caller acts for; undefined where no API key is required. */
   readonly workspace: WorkspaceId | undefined;
-  /** Regions that its data may be in; missing where it may be anywhere. */
+  /** Regions in which the data may be stored; missing if it may be in any region. */
   readonly regions?: PermittedRegions;
-  /** Id that the caller gave the statement. */
+  /** Statement id assigned by the caller. */
   readonly id: string;
   readonly values: SessionValues;
-  /** Latest commit of the session itself. */
+  /** Position of the session's own latest commit. */
   readonly own: SessionPosition | undefined;
-  /** When the statement or its transaction began, local milliseconds. */
+  /** Local time at which the statement or its transaction began, milliseconds. */
   readonly beganAt: number;
-  /** When the statement arrived, local milliseconds. */
+  /** Local time at which the statement arrived, milliseconds. */
   readonly arrivedAt: number;
 }
 
@@ -34,7 +34,7 @@
 /** The begin of a transaction. */
 export interface BeginJob extends Job {
   readonly readOnly: boolean;
-  /** First statement; a host that is asked to begin runs it along with that, which saves a round trip. */
+  /** First statement; a remote host runs it together with the begin, which saves a round trip. */
   readonly first?: Work;
 }
 
@@ -46,17 +46,17 @@
   readonly arrivedAt: number;
 }
 
-/** An open transaction, bound to one upstream connection. */
+/** An open transaction, pinned to one upstream connection. */
 export interface OpenTransaction {
-  /** Outcome of the first statement, where that was run with the begin. */
+  /** Outcome of the first statement, if it was run together with the begin. */
   readonly first?: Outcome;
-  /** Runs one statement; after any outcome but `completed` the transaction is over. */
+  /** Runs one statement; any outcome other than `completed` ends the transaction. */
   run(step: StepJob): Promise<Outcome>;
   commit(id: string, arrivedAt: number): Promise<Outcome>;
   rollback(): void;
 }
 
-/** Runs the work of sessions. */
+/** Runs the statements and transactions of sessions. */
 export interface Executor {
   run(job: StatementJob): Promise<Outcome>;
   begin(job: BeginJob): Promise<Result<OpenTransaction, Outcome>>;
--- a/packages/gateway/src/home/local-executor.ts
+++ b/packages/gateway/src/home/local-executor.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the work of sessions on this host's own homes.
+ * Runs the statements and transactions of sessions on this host's own connections to the upstreams.
  */
 import type { GroupId, Refusal, UpstreamId } from '@gladespool/coordination';
 import { Access, RefusalReason, RetryReason } from '@gladespool/coordination';
@@ -19,23 +19,23 @@
 import { planAtPrimary, planRead } from './read-plan.js';
 import { runWrite } from './write-flow.js';
 
-/** Upstreams tried for the begin of one transaction at most. */
-const MAX_BEGINS = 4;
+/** Maximum number of upstreams tried for the begin of one transaction. */
+const MAX_BEGIN_TRIES = 4;
 
-/** Homes of this host. */
+/** Executor that holds the homes of this host, one per group. */
 export class LocalExecutor implements Executor {
   private readonly homes = new Map<GroupId, GroupHome>();
 
   constructor(private readonly context: HomeContext) {
-    const review = (): void => {
+    const refreshPools = (): void => {
       for (const home of this.homes.values()) home.refreshPools();
     };
-    context.board.onChange(BoardSection.Hosts, review);
-    context.board.onChange(BoardSection.Upstreams, review);
-    context.board.onChange(BoardSection.Catalog, review);
+    context.board.onChange(BoardSection.Hosts, refreshPools);
+    context.board.onChange(BoardSection.Upstreams, refreshPools);
+    context.board.onChange(BoardSection.Catalog, refreshPools);
   }
 
-  /** The home of a group, opened when it is first asked for. */
+  /** Returns the home of a group; creates it on first use. */
   home(group: GroupId): GroupHome {
     const held = this.homes.get(group);
     if (held !== undefined) return held;
@@ -53,7 +53,7 @@
     const home = this.home(job.route.group);
     const tried = new Set<UpstreamId>();
     let last: Outcome = refused(RefusalReason.NoPrimary, home.group);
-    for (let count = 0; count < MAX_BEGINS; count += 1) {
+    for (let count = 0; count < MAX_BEGIN_TRIES; count += 1) {
       const now = performance.now();
       if (now >= job.arrivedAt + job.route.timeoutMs) break;
       if (!job.readOnly && home.context.holds.isHeld(home.group, now)) {
@@ -70,22 +70,24 @@
       last = opened.error;
       tried.add(target.value.entry.id);
       this.context.metrics.retries.inc({ reason: RetryReason.ReadLost });
-      if (!mayTryAgain(last, job)) break;
+      if (!mayRetry(last, job)) break;
     }
     return err(last);
   }
 
-  /** Gives back at `now` what this host holds without being a home. */
+  /** Runs the periodic checks of all homes at `now`. */
   tick(now: number): void {
     for (const home of this.homes.values()) home.tick(now);
   }
 
-  /** Closes every connection that is not in use. */
+  /** Closes all idle connections. */
   stop(): void {
     for (const home of this.homes.values()) home.stop();
   }
 
-  /** A transaction that may write begins at the primary, one that only reads where a read may run. */
+  /**
+   * A transaction that may write begins on the primary, a read-only one on any upstream that may serve the read.
+   */
   private beginTarget(
     home: GroupHome,
     job: BeginJob,
@@ -96,8 +98,10 @@
   }
 }
 
-/** A begin has run nothing yet, so it may be tried again; at the primary only if it shed it. */
-function mayTryAgain(last: Outcome, job: BeginJob): boolean {
+/**
+ * Whether the begin, which has run nothing yet, is retried on another upstream; only read-only transactions are.
+ */
+function mayRetry(last: Outcome, job: BeginJob): boolean {
   if (last.kind === 'faulted') return job.readOnly && NOT_RUN_FAULTS.has(last.fault);
   return job.readOnly && last.kind === 'refused';
 }
--- a/packages/gateway/src/home/pinned-transaction.ts
+++ b/packages/gateway/src/home/pinned-transaction.ts
@@ -1,5 +1,5 @@
 /**
- * A transaction on one upstream connection, from its begin to its end.
+ * A transaction pinned to one upstream connection, from its begin to its commit or rollback.
  */
 import { Access, RefusalReason } from '@gladespool/coordination';
 import type { Result } from 'neverthrow';
@@ -17,20 +17,20 @@
 import { mayContinue } from './upstream-exclusion.js';
 import { writeOutcome, refuseWithoutConnection } from './write-flow.js';
 
-/** Longest time for a rollback before its connection is closed instead, milliseconds. */
+/** Timeout of a rollback, milliseconds; after it the connection is closed instead. */
 const ROLLBACK_TIMEOUT_MS = 1000;
-/** Told of a transaction that was ended since its upstream's zone is evacuated. */
+/** Detail of the refusal after a transaction was ended because the zone of its upstream is evacuated. */
 const EVACUATED = 'zone evacuated';
 
-/** Opens a transaction on the upstream of `target`. */
+/** Begins a transaction on the upstream of `target`. */
 export async function openTransaction(
   home: GroupHome,
   job: BeginJob,
   target: ReadTarget,
 ): Promise<Result<PinnedTransaction, Outcome>> {
-  const slot = home.pool(target.entry.id);
-  if (slot === undefined) return err(refused(RefusalReason.NoCoveringUpstream, home.group));
-  const borrowed = await borrow(home, slot, job, undefined);
+  const pool = home.pool(target.entry.id);
+  if (pool === undefined) return err(refused(RefusalReason.NoCoveringUpstream, home.group));
+  const borrowed = await borrow(home, pool, job, undefined);
   if (borrowed.isErr()) {
     const outcome = target.needsAuthority
       ? refuseWithoutConnection(home, borrowed.error)
@@ -42,8 +42,8 @@
   const leftMs = job.arrivedAt + job.route.timeoutMs - performance.now();
   const begin = { kind: 'begin', readOnly: job.readOnly, after } as const;
   const { answer } = await send(home, borrowed.value, begin, leftMs);
-  const current = isValidPrimaryAnswer(home, borrowed.value, performance.now());
-  if (answer.kind === 'completed' && (current || !target.needsAuthority)) {
+  const isValid = isValidPrimaryAnswer(home, borrowed.value, performance.now());
+  if (answer.kind === 'completed' && (isValid || !target.needsAuthority)) {
     return ok(new PinnedTransaction(home, borrowed.value, job));
   }
   if (answer.kind === 'completed') lease.connection.close();
@@ -58,38 +58,40 @@
   return { kind: 'faulted', fault, code, text };
 }
 
-/** An open transaction. */
+/** An open transaction on a connection of this host. */
 export class PinnedTransaction implements OpenTransaction, WatchedTransaction {
-  private wrote = false;
-  private over = false;
-  /** Whether a statement is on its way. */
+  private hasWritten = false;
+  private isEnded = false;
+  /** Whether a statement is running. */
   private isRunning = false;
-  /** Why the transaction was ended by this host; empty when the reason told says it all. */
-  private endedFor = '';
-  /** Ends the count of transactions that a planned change of the primary waits for. */
-  private readonly leave: () => void;
+  /** Detail for the refusal if this host ended the transaction; empty if the refusal's reason suffices. */
+  private endDetail = '';
+  /** Removes this transaction from those that a planned change of the primary waits for. */
+  private readonly untrackWrite: () => void;
 
   constructor(
     private readonly home: GroupHome,
     private readonly borrowed: BorrowedConnection,
     private readonly begin: BeginJob,
   ) {
-    this.leave = begin.readOnly ? () => undefined : home.context.holds.trackWrite(home.group);
+    this.untrackWrite = begin.readOnly
+      ? () => undefined
+      : home.context.holds.trackWrite(home.group);
     home.transactions.add(this);
   }
 
   async run(step: StepJob): Promise<Outcome> {
     this.endIfEvacuated(performance.now());
-    if (this.over) return this.lost();
+    if (this.isEnded) return this.refuseLost();
     this.isRunning = true;
     const outcome = await this.runStep(step);
     this.isRunning = false;
     return outcome;
   }
 
-  /** Ends the transaction if its zone has been evacuated for too long, but no statement that is on its way. */
+  /** Ends the transaction, unless a statement is running, if its zone is past the grace time of the evacuation. */
   endIfEvacuated(now: number): void {
-    if (!this.isRunning && !this.over && !this.mayGoOn(now)) this.evacuate();
+    if (!this.isRunning && !this.isEnded && !this.mayContinue(now)) this.evacuate();
   }
 
   private async runStep(step: StepJob): Promise<Outcome> {
@@ -97,59 +99,59 @@
     const leftMs = step.arrivedAt + this.begin.route.timeoutMs - performance.now();
     const failed = await connection.setUp(step.values, step.work, leftMs);
     if (failed !== undefined) return this.fail(refused(RefusalReason.TransactionLost));
-    if (!this.mayGoOn(performance.now())) this.evacuate();
-    if (this.over) return this.lost();
-    if (accessOf(step.work) === Access.Write) this.wrote = true;
+    if (!this.mayContinue(performance.now())) this.evacuate();
+    if (this.isEnded) return this.refuseLost();
+    if (accessOf(step.work) === Access.Write) this.hasWritten = true;
     const command = connection.commandFor(step.work, step.id, undefined);
     const { answer } = await send(this.home, this.borrowed, command, leftMs);
     if (answer.kind === 'completed') {
       const { rows, signature } = answer;
       return { kind: 'completed', rows, signature, committed: undefined };
     }
-    if (answer.kind === 'lost') return this.fail(lostInside(answer.loss));
+    if (answer.kind === 'lost') return this.fail(lostStatementOutcome(answer.loss));
     const { fault, code, text } = answer;
     return this.fail({ kind: 'faulted', fault, code, text });
   }
 
   async commit(id: string, arrivedAt: number): Promise<Outcome> {
     this.endIfEvacuated(performance.now());
-    if (this.over) return this.lost();
-    if (this.wrote && !this.mayCommit()) return this.fail(refused(RefusalReason.NoAuthority));
-    this.end();
+    if (this.isEnded) return this.refuseLost();
+    if (this.hasWritten && !this.mayCommit()) return this.fail(refused(RefusalReason.NoAuthority));
+    this.markEnded();
     const leftMs = arrivedAt + this.begin.route.timeoutMs - performance.now();
     const { answer } = await send(this.home, this.borrowed, { kind: 'commit', id }, leftMs);
-    this.leave();
+    this.untrackWrite();
     this.borrowed.lease.release();
-    if (this.wrote) return writeOutcome(this.home, this.borrowed, answer);
-    return unconfirmedCommit(answer);
+    if (this.hasWritten) return writeOutcome(this.home, this.borrowed, answer);
+    return readOnlyCommitOutcome(answer);
   }
 
   rollback(): void {
-    if (this.over) return;
-    this.end();
-    this.leave();
+    if (this.isEnded) return;
+    this.markEnded();
+    this.untrackWrite();
     void this.rollBackAndRelease();
   }
 
-  /** Ends the transaction since its zone has been evacuated for too long. */
+  /** Ends the transaction because its zone is past the grace time of the evacuation. */
   private evacuate(): void {
     const { group, context } = this.home;
     const upstream = this.borrowed.pool.entry.id;
     context.log.info('transaction-evacuated', { request: this.begin.id, group, upstream });
-    this.endedFor = EVACUATED;
+    this.endDetail = EVACUATED;
     this.rollback();
   }
 
-  private end(): void {
-    this.over = true;
+  private markEnded(): void {
+    this.isEnded = true;
     this.home.transactions.delete(this);
   }
 
-  private lost(): Outcome {
-    return refused(RefusalReason.TransactionLost, this.endedFor);
+  private refuseLost(): Outcome {
+    return refused(RefusalReason.TransactionLost, this.endDetail);
   }
 
-  private mayGoOn(now: number): boolean {
+  private mayContinue(now: number): boolean {
     return mayContinue(this.home, this.borrowed.pool.entry, now);
   }
 
@@ -159,23 +161,23 @@
 
   private async rollBackAndRelease(): Promise<void> {
     const { lease } = this.borrowed;
-    // A lost connection ends the transaction as well, and nothing reaches the upstream.
-    if (!this.mayGoOn(performance.now())) lease.connection.close();
+    // Closing the connection also ends the transaction, and sends nothing to an upstream of the evacuated zone.
+    if (!this.mayContinue(performance.now())) lease.connection.close();
     if (lease.connection.usable) {
       await send(this.home, this.borrowed, { kind: 'rollback' }, ROLLBACK_TIMEOUT_MS);
     }
     lease.release();
   }
 
-  /** Ends the transaction, which keeps nothing of it, and gives back the outcome to tell. */
+  /** Rolls the transaction back and returns the outcome for the caller. */
   private fail(outcome: Outcome): Outcome {
     this.rollback();
     return outcome;
   }
 }
 
-/** A transaction that wrote nothing keeps nothing, whatever became of its commit. */
-function unconfirmedCommit(answer: UpstreamAnswer): Outcome {
+/** Outcome of the commit of a transaction that wrote nothing; if the answer is lost, nothing is in doubt. */
+function readOnlyCommitOutcome(answer: UpstreamAnswer): Outcome {
   if (answer.kind === 'lost') return refused(RefusalReason.TransactionLost);
   if (answer.kind === 'faulted') {
     const { fault, code, text } = answer;
@@ -185,8 +187,8 @@
   return { kind: 'completed', rows, signature, committed: undefined };
 }
 
-/** A lost connection ends the transaction at the upstream as well. */
-function lostInside(loss: ConnectionLoss): Outcome {
+/** Outcome of a statement whose connection was lost, which also ends the transaction on the upstream. */
+function lostStatementOutcome(loss: ConnectionLoss): Outcome {
   const detail = loss === ConnectionLoss.Timeout ? 'no answer in time' : 'connection ended';
   return refused(RefusalReason.TransactionLost, detail);
 }
--- a/packages/gateway/src/home/prepared-connection.ts
+++ b/packages/gateway/src/home/prepared-connection.ts
@@ -1,6 +1,6 @@
 /**
- * A pooled upstream connection together with the session values and prepared statements that it
- * holds, so that it can be set up for whichever session runs on it next.
+ * A pooled upstream connection that tracks the session values and prepared statements set on it, so that it can be
+ * set up for whichever session uses it next.
  */
 import type { Position } from '@gladespool/coordination';
 import type { PoolConnection } from '@gladespool/pool';
@@ -14,10 +14,10 @@
 /** Session values by name. */
 export type SessionValues = ReadonlyMap<string, string>;
 
-/** Prepared statements kept on one connection before it is emptied. */
+/** Number of prepared statements on one connection above which all of them are discarded. */
 const MAX_PREPARED = 200;
 
-/** An upstream connection that knows what is set on it. */
+/** An upstream connection with the session state that is set on it. */
 export class PreparedConnection implements PoolConnection {
   private readonly values = new Map<string, string>();
   private readonly prepared = new Set<string>();
@@ -41,53 +41,53 @@
   }
 
   /**
-   * Makes the values and prepared statements what the session's work needs.
+   * Sets the session values and prepares the statement that the session's work needs.
    *
-   * @returns the answer of the step that failed; undefined when all is set. After a failure the
-   * connection must not be used.
+   * @returns the answer of the command that failed; undefined on success. After a failure the connection must not
+   * be used.
    */
   async setUp(
     values: SessionValues,
     work: Work | undefined,
     timeoutMs: number,
   ): Promise<UpstreamAnswer | undefined> {
-    for (const command of this.missingSteps(values, work)) {
+    for (const command of this.setUpCommands(values, work)) {
       const answer = await this.wire.exchange(command, timeoutMs);
       if (answer.kind !== 'completed') return answer;
-      this.note(command);
+      this.recordState(command);
     }
     return undefined;
   }
 
-  /** The command that runs the work here. */
+  /** Returns the command that runs the work on this connection. */
   commandFor(work: Work, id: string, after: Position | undefined): UpstreamCommand {
     if (work.kind === 'text') return { kind: 'run', id, text: work.text, after };
-    return { kind: 'execute', id, name: nameOf(work.prepared), args: work.args, after };
+    return { kind: 'execute', id, name: preparedNameOf(work.prepared), args: work.args, after };
   }
 
-  /** Forgets the prepared statements, after the upstream said that it does not know one. */
+  /** Forgets all prepared statements, after the upstream has reported that it does not know one. */
   forgetPrepared(): void {
     this.prepared.clear();
   }
 
-  private missingSteps(values: SessionValues, work: Work | undefined): readonly UpstreamCommand[] {
-    const foreign = [...this.values.keys()].some((name) => !values.has(name));
-    const discards = foreign || this.prepared.size > MAX_PREPARED;
-    const steps: UpstreamCommand[] = discards ? [{ kind: 'discard' }] : [];
+  private setUpCommands(values: SessionValues, work: Work | undefined): readonly UpstreamCommand[] {
+    const hasForeignValues = [...this.values.keys()].some((name) => !values.has(name));
+    const discards = hasForeignValues || this.prepared.size > MAX_PREPARED;
+    const commands: UpstreamCommand[] = discards ? [{ kind: 'discard' }] : [];
     for (const [name, value] of values) {
       if (discards || this.values.get(name) !== value) {
-        steps.push({ kind: 'set-value', name, value });
+        commands.push({ kind: 'set-value', name, value });
       }
     }
-    if (work?.kind !== 'prepared') return steps;
-    const name = nameOf(work.prepared);
+    if (work?.kind !== 'prepared') return commands;
+    const name = preparedNameOf(work.prepared);
     if (discards || !this.prepared.has(name)) {
-      steps.push({ kind: 'prepare', name, prepared: work.prepared });
+      commands.push({ kind: 'prepare', name, prepared: work.prepared });
     }
-    return steps;
+    return commands;
   }
 
-  private note(command: UpstreamCommand): void {
+  private recordState(command: UpstreamCommand): void {
     if (command.kind === 'set-value') this.values.set(command.name, command.value);
     if (command.kind === 'prepare') this.prepared.add(command.name);
     if (command.kind !== 'discard') return;
@@ -96,7 +96,7 @@
   }
 }
 
-/** Name of a shape on upstream connections, the same for every session. */
-function nameOf(prepared: PreparedStatement): string {
+/** Name of a prepared shape on upstream connections; the same for every session, so that sessions share it. */
+function preparedNameOf(prepared: PreparedStatement): string {
   return `${prepared.access}_${prepared.shape}`;
 }
--- a/packages/gateway/src/home/read-flow.ts
+++ b/packages/gateway/src/home/read-flow.ts
@@ -1,5 +1,5 @@
 /**
- * Single reads: tried at one upstream after another within the statement's time.
+ * Runs single reads: tries one upstream after another until the statement's deadline.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { RefusalReason as Reason, UpstreamId } from '@gladespool/coordination';
@@ -21,22 +21,22 @@
 import { isExclusion } from './upstream-exclusion.js';
 import { refuseWithoutConnection } from './write-flow.js';
 
-/** Upstreams tried for one read at most: each of three twice. */
+/** Maximum number of tries of one read: two on each of three upstreams. */
 const MAX_TRIES = 6;
 /**
- * Part of an operation's target latency that a read may wait until upstreams that were tried are worth
- * another try: those that shed it have room again, those that lagged have caught up.
+ * Share of an operation's target latency after which a read no longer waits to retry upstreams that it has tried:
+ * by then those that shed it have capacity again, and those that lagged have caught up.
  */
-const PAUSE_SHARE = 0.6;
-/** Part of the time left that one try may take while another could follow. */
-const TRY_SHARE = 0.6;
+const MAX_PAUSE_SHARE = 0.6;
+/** Share of the remaining time that one try may take, so that time is left for another. */
+const MAX_TRY_SHARE = 0.6;
 
-/** Outcome of one try. */
+/** Result of one try. */
 type Try =
   | { readonly kind: 'final'; readonly outcome: Outcome }
   | { readonly kind: 'again'; readonly reason: RetryReason; readonly last: Outcome };
 
-/** Runs one read to its outcome. */
+/** Runs one read, including its retries. */
 export async function runRead(home: GroupHome, job: StatementJob): Promise<Outcome> {
   const tried = new Set<UpstreamId>();
   let last: Outcome = refused(RefusalReason.NoCoveringUpstream, home.group);
@@ -53,17 +53,17 @@
     const attempt = await tryRead(home, job, target.value);
     if (attempt.kind === 'final') return attempt.outcome;
     tried.add(target.value.entry.id);
-    noteRetry(home, job, target.value, attempt.reason);
+    recordRetry(home, job, target.value, attempt.reason);
     last = attempt.last;
   }
   return last;
 }
 
 /**
- * Waits until an upstream that has been tried already is worth another try; asked at once it would only
- * give the same answer.
+ * Waits until an upstream that has been tried already is no longer avoided; an immediate retry would only get the
+ * same answer.
  *
- * @returns false when that is too late for the read
+ * @returns false if that is too late for the read
  */
 async function awaitRecovery(
   home: GroupHome,
@@ -74,51 +74,53 @@
 ): Promise<boolean> {
   const avoidUntil = home.pool(entry.id)?.health.avoidUntil ?? now;
   if (!tried.has(entry.id) || avoidUntil <= now) return true;
-  if (avoidUntil > job.arrivedAt + job.route.targetLatencyMs * PAUSE_SHARE) return false;
+  if (avoidUntil > job.arrivedAt + job.route.targetLatencyMs * MAX_PAUSE_SHARE) return false;
   await pause(avoidUntil - now);
   return true;
 }
 
 async function tryRead(home: GroupHome, job: StatementJob, target: ReadTarget): Promise<Try> {
-  const slot = home.pool(target.entry.id);
-  if (slot === undefined) return again(RetryReason.ConnectFailed, RefusalReason.NoCoveringUpstream);
-  const borrowed = await borrow(home, slot, job, job.work);
-  if (borrowed.isErr()) return withoutConnection(home, borrowed.error, target);
+  const pool = home.pool(target.entry.id);
+  if (pool === undefined) return retry(RetryReason.ConnectFailed, RefusalReason.NoCoveringUpstream);
+  const borrowed = await borrow(home, pool, job, job.work);
+  if (borrowed.isErr()) return resultWithoutConnection(home, borrowed.error, target);
   const { lease } = borrowed.value;
-  // The record may have changed since the read was planned: it waits for upstreams that were tried before.
+  // The record may have changed since the read was planned, as the read may have waited for a recovery before.
   if (target.needsAuthority && !isValidPrimaryAnswer(home, borrowed.value, performance.now())) {
     lease.release();
-    return again(RetryReason.NotPrimary, RefusalReason.NoAuthority);
+    return retry(RetryReason.NotPrimary, RefusalReason.NoAuthority);
   }
   const after = requiredPosition(home, borrowed.value, target);
   const command = lease.connection.commandFor(job.work, job.id, after);
   const leftMs = job.arrivedAt + job.route.timeoutMs - performance.now();
-  const { answer } = await send(home, borrowed.value, command, leftMs * TRY_SHARE);
+  const { answer } = await send(home, borrowed.value, command, leftMs * MAX_TRY_SHARE);
   if (answer.kind === 'faulted' && answer.fault === UpstreamFault.UnknownStatement) {
     lease.connection.forgetPrepared();
   }
   lease.release();
   if (target.needsAuthority && !isValidPrimaryAnswer(home, borrowed.value, performance.now())) {
-    return again(RetryReason.NotPrimary, RefusalReason.NoAuthority);
+    return retry(RetryReason.NotPrimary, RefusalReason.NoAuthority);
   }
-  return judge(answer);
+  return resultOf(answer);
 }
 
-/** Without a connection another upstream may serve; where only the primary may, the answer is final. */
-function withoutConnection(home: GroupHome, reason: Reason, target: ReadTarget): Try {
+/**
+ * Result of a try that got no connection: retried on another upstream, unless only the primary may serve the read.
+ */
+function resultWithoutConnection(home: GroupHome, reason: Reason, target: ReadTarget): Try {
   if (target.needsAuthority) return final(refuseWithoutConnection(home, reason));
-  if (isExclusion(reason)) return again(RetryReason.UpstreamExcluded, reason);
+  if (isExclusion(reason)) return retry(RetryReason.UpstreamExcluded, reason);
   const unreachable = reason === RefusalReason.UpstreamUnreachable;
-  return again(unreachable ? RetryReason.ConnectFailed : RetryReason.UpstreamBusy, reason);
+  return retry(unreachable ? RetryReason.ConnectFailed : RetryReason.UpstreamBusy, reason);
 }
 
-function judge(answer: UpstreamAnswer): Try {
+function resultOf(answer: UpstreamAnswer): Try {
   if (answer.kind === 'completed') {
     const { rows, signature } = answer;
     return final({ kind: 'completed', rows, signature, committed: undefined });
   }
   if (answer.kind === 'lost') {
-    return again(RetryReason.ReadLost, RefusalReason.UpstreamLostReading);
+    return retry(RetryReason.ReadLost, RefusalReason.UpstreamLostReading);
   }
   const { fault, code, text } = answer;
   const last: Outcome = { kind: 'faulted', fault, code, text };
@@ -142,7 +144,7 @@
   }
 }
 
-function noteRetry(
+function recordRetry(
   home: GroupHome,
   job: StatementJob,
   target: ReadTarget,
@@ -163,6 +165,6 @@
   return { kind: 'final', outcome };
 }
 
-function again(reason: RetryReason, refusal: Reason): Try {
+function retry(reason: RetryReason, refusal: Reason): Try {
   return { kind: 'again', reason, last: refused(refusal) };
 }
--- a/packages/gateway/src/home/read-plan.ts
+++ b/packages/gateway/src/home/read-plan.ts
@@ -1,5 +1,5 @@
 /**
- * Where a read may run, so that it shows every commit that it has to.
+ * Selects an upstream for a read that shows every commit that the read has to see.
  */
 import type { Position, Refusal, UpstreamId } from '@gladespool/coordination';
 import { Consistency, readFloor, RefusalReason, refuse } from '@gladespool/coordination';
@@ -15,41 +15,41 @@
   refuseExcluded,
 } from './upstream-exclusion.js';
 
-/** One place to run a read. */
+/** The upstream that a read or transaction runs on, and the conditions under which its answer is valid. */
 export interface ReadTarget {
   readonly entry: UpstreamEntry;
-  /** Position that the upstream's log must hold. */
+  /** Log position that the upstream must hold. */
   readonly after: Position | undefined;
-  /** Whether the answer counts only while the upstream is proved to be the primary. */
+  /** Whether the answer is valid only while the upstream is proven to be the primary. */
   readonly needsAuthority: boolean;
 }
 
-/** Added to the age of marks, milliseconds: timers and steady clocks of a slowed host. */
-const MARK_MARGIN_MS = 20;
+/** Safety margin added to the age of watermarks, milliseconds, for timer and clock errors of a slowed host. */
+const WATERMARK_MARGIN_MS = 20;
 
-/** Chooses where to run a read at `now`; `tried` upstreams come last. */
+/** Selects the upstream for a read at `now`; those already `tried` are selected last. */
 export function planRead(
   home: GroupHome,
   job: Job,
   tried: ReadonlySet<UpstreamId>,
   now: number,
 ): Result<ReadTarget, Refusal> {
-  const after = floorOf(home, job);
+  const after = requiredPositionOf(home, job);
   if (after === undefined) return planAtPrimary(home, job, now);
   const primary = home.record?.primary;
   const authority = home.hasAuthority(now);
   const isAllowed = (entry: UpstreamEntry): boolean =>
     (entry.id !== primary || authority) && !entry.draining;
-  const isFresh = (entry: UpstreamEntry): boolean => !tried.has(entry.id);
-  // A primary that is leaving still has every commit, and leads until it is replaced.
+  const isUntried = (entry: UpstreamEntry): boolean => !tried.has(entry.id);
+  // A draining primary still has every commit, and remains primary until it is replaced.
   const isPrimary = (entry: UpstreamEntry): boolean => entry.id === primary && authority;
   const isUsable = (entry: UpstreamEntry): boolean =>
     exclusionOf(home, entry, job, now) === undefined;
   const choose = (passes: (entry: UpstreamEntry) => boolean): UpstreamEntry | undefined =>
     home.choose((candidate) => isUsable(candidate) && passes(candidate), job, now);
   const entry =
-    choose((candidate) => isAllowed(candidate) && isFresh(candidate)) ??
-    choose((candidate) => isPrimary(candidate) && isFresh(candidate)) ??
+    choose((candidate) => isAllowed(candidate) && isUntried(candidate)) ??
+    choose((candidate) => isPrimary(candidate) && isUntried(candidate)) ??
     choose(isAllowed) ??
     choose((candidate) => candidate.id !== primary);
   if (entry === undefined) return err(refuseRead(home, job, now));
@@ -62,18 +62,18 @@
   return refuse(RefusalReason.NoCoveringUpstream, home.group);
 }
 
-/** Position behind which the read may run anywhere; undefined when only the primary will do. */
-function floorOf(home: GroupHome, job: Job): Position | undefined {
+/** Log position with which any upstream may serve the read; undefined if only the primary may. */
+function requiredPositionOf(home: GroupHome, job: Job): Position | undefined {
   const { consistency, maxStalenessMs } = job.route;
   if (consistency === Consistency.Primary) return undefined;
   const { marks } = home;
-  const mark = marks.oldestSince(job.beganAt - maxStalenessMs + MARK_MARGIN_MS);
-  if (mark === undefined) return undefined;
+  const watermark = marks.oldestSince(job.beganAt - maxStalenessMs + WATERMARK_MARGIN_MS);
+  if (watermark === undefined) return undefined;
   if (job.own !== undefined && job.own.epoch > marks.currentEpoch) return undefined;
-  return readFloor(mark, marks.currentEpoch, job.own);
+  return readFloor(watermark, marks.currentEpoch, job.own);
 }
 
-/** The primary, if it is proved; for primary reads and whatever may write. */
+/** Targets the primary, if this host has authority to use it; for primary reads and transactions that may write. */
 export function planAtPrimary(home: GroupHome, job: Job, now: number): Result<ReadTarget, Refusal> {
   const excluded = primaryExclusion(home, job, now);
   if (excluded !== undefined) return err(refuseExcluded(home, excluded));
--- a/packages/gateway/src/home/upstream-exclusion.ts
+++ b/packages/gateway/src/home/upstream-exclusion.ts
@@ -1,6 +1,6 @@
 /**
- * Which upstreams of a group a job must not be sent to: those outside the regions that its data may be
- * in, and those of zones that are evacuated.
+ * Excludes upstreams that a job must not be sent to: those outside the regions in which its data may be stored, and
+ * those in evacuated zones.
  */
 import type { Refusal } from '@gladespool/coordination';
 import {
@@ -17,10 +17,10 @@
 import type { GroupHome } from './group-home.js';
 import type { Job } from './job.js';
 
-/** Why an upstream gets no work. */
+/** Reason for which an upstream is excluded. */
 export type Exclusion = RefusalReason.ZoneEvacuated | RefusalReason.NoPermittedRegion;
 
-/** Why an upstream must not get new work of a job at `now`; undefined when it may. */
+/** Reason for which an upstream must not receive a new job at `now`; undefined if it may. */
 export function exclusionOf(
   home: GroupHome,
   entry: UpstreamEntry,
@@ -37,12 +37,14 @@
     : RefusalReason.ZoneEvacuated;
 }
 
-/** Whether open transactions on an upstream may go on at `now`. */
+/** Whether open transactions on an upstream may continue at `now`. */
 export function mayContinue(home: GroupHome, entry: UpstreamEntry, now: number): boolean {
   return stageOf(home, entry, now) !== EvacuationStage.Evacuated;
 }
 
-/** Why no upstream of the group may get a job at `now`; undefined when one may, or there is none. */
+/**
+ * Reason for which all upstreams of the group are excluded at `now`; undefined if one is not, or there are none.
+ */
 export function groupExclusion(
   home: GroupHome,
   job: Pick<Job, 'regions'>,
@@ -56,29 +58,29 @@
 }
 
 /**
- * Why work that needs the primary is of no use to wait for at `now`: no upstream may run it, or the one that
- * serves as the primary may not. While another one is about to follow it may be worth the wait.
+ * Reason for which work that needs the primary is refused at `now` without waiting: all upstreams are excluded, or
+ * the serving primary is. During a promotion the primary is not considered, as the next one may be permitted.
  */
 export function primaryExclusion(
   home: GroupHome,
   job: Pick<Job, 'regions'>,
   now: number,
 ): Exclusion | undefined {
-  const whole = groupExclusion(home, job, now);
+  const ofGroup = groupExclusion(home, job, now);
   const { record, context } = home;
-  if (whole !== undefined || record?.phase !== RecordPhase.Serving) return whole;
+  if (ofGroup !== undefined || record?.phase !== RecordPhase.Serving) return ofGroup;
   const entry = context.board.upstreams.get(record.primary);
   return entry && exclusionOf(home, entry, job, now);
 }
 
-/** Refusal for an exclusion; an evacuation passes, so callers are told when to come back. */
+/** Refusal for an exclusion; an evacuation is temporary, so callers are told when to retry. */
 export function refuseExcluded(home: GroupHome, reason: Exclusion): Refusal {
   const refusal = refuse(reason, home.group);
   if (reason === RefusalReason.NoPermittedRegion) return refusal;
   return { ...refusal, retryAfterMs: home.retryAfterWithJitter(retryAfterMsOf(refusal)) };
 }
 
-/** Whether a reason is an exclusion, which every host finds alike, so that no other could do better. */
+/** Whether a reason is an exclusion; all hosts decide alike, so forwarding to another host would not help. */
 export function isExclusion(reason: RefusalReason): reason is Exclusion {
   return reason === RefusalReason.ZoneEvacuated || reason === RefusalReason.NoPermittedRegion;
 }
--- a/packages/gateway/src/home/upstream-pool.ts
+++ b/packages/gateway/src/home/upstream-pool.ts
@@ -1,5 +1,5 @@
 /**
- * One upstream of a home: its pool of connections and what was seen of it.
+ * Connection pool of one upstream, together with the health of the upstream.
  */
 import type {
   GladespoolError,
@@ -19,65 +19,66 @@
 import { PreparedConnection } from './prepared-connection.js';
 import { UpstreamHealth } from './upstream-health.js';
 
-/** What a slot needs of its home. */
+/** Settings and callbacks that the home supplies. */
 export interface UpstreamPoolOptions {
   readonly group: GroupId;
   readonly driver: UpstreamDriver;
   readonly limits: PoolLimits;
   readonly connectTimeoutMs: number;
-  /** Position that the upstream must have reached by now; undefined where nothing is known. */
+  /** Log position that the upstream must have reached; undefined if unknown. */
   readonly floor: () => Position | undefined;
-  /** Whether the upstream has told a position behind the floor, and thus lost what it held. */
-  readonly detectLogLoss: (floor: Position | undefined, told: Position | undefined) => boolean;
+  /** Whether the upstream has reported a position below the floor, and so has lost its log. */
+  readonly detectLogLoss: (floor: Position | undefined, reported: Position | undefined) => boolean;
   readonly onConnected: () => void;
   readonly onConnectFailure: (error: GladespoolError) => void;
 }
 
-/** Pool and health of one upstream. */
 export class UpstreamPool {
   readonly health = new UpstreamHealth();
   private readonly pool: ConnectionPool<PreparedConnection>;
 
   constructor(
-    private known: UpstreamEntry,
+    private currentEntry: UpstreamEntry,
     private readonly options: UpstreamPoolOptions,
   ) {
     this.pool = new ConnectionPool(
       (workspace) => this.connect(workspace),
       options.limits,
       (error) => {
-        this.noteRefused(error, performance.now());
+        this.recordConnectFailure(error, performance.now());
         options.onConnectFailure(error);
       },
     );
   }
 
-  /** The upstream's entry. */
   get entry(): UpstreamEntry {
-    return this.known;
+    return this.currentEntry;
   }
 
-  /** Takes a newer entry of the same upstream. */
+  /** Replaces the entry by a newer one of the same upstream. */
   update(entry: UpstreamEntry): void {
-    this.known = entry;
+    this.currentEntry = entry;
   }
 
-  /** Statements at the upstream or waiting for a connection to it. */
+  /** Statements running on the upstream or waiting for a connection to it. */
   get load(): number {
     return this.health.inFlight + this.pool.queued;
   }
 
-  /** Connections open or being opened. */
+  /** Connections that are open or being opened. */
   get connections(): number {
     return this.pool.connections;
   }
 
-  /** What is there for a statement of a workspace; all is where connections serve everybody. */
-  reuseFor(workspace: WorkspaceId | undefined): ConnectionAvailability {
+  /**
+   * How a statement of a workspace gets a connection; always `Ready` where connections are not bound to a
+   * workspace.
+   */
+  availabilityFor(workspace: WorkspaceId | undefined): ConnectionAvailability {
     return workspace === undefined ? ConnectionAvailability.Ready : this.pool.reuseFor(workspace);
   }
 
-  /** Lends a connection of a workspace, waiting at most `timeoutMs`. */
+  /** Leases a connection of a workspace, waiting at most `timeoutMs`. */
   acquire(
     priority: Priority,
     now: number,
@@ -87,12 +88,12 @@
     return this.pool.acquire(priority, now, timeoutMs, workspace);
   }
 
-  /** Changes the bounds of the pool. */
+  /** Changes the limits of the pool. */
   resize(limits: PoolLimits): void {
     this.pool.resize(limits);
   }
 
-  /** Closes connections that nobody has used since `before`. */
+  /** Closes connections that have been idle since `before`. */
   closeIdle(before: number): void {
     this.pool.closeIdle(before);
   }
@@ -102,7 +103,7 @@
     this.pool.stop();
   }
 
-  private noteRefused({ step }: GladespoolError, now: number): void {
+  private recordConnectFailure({ step }: GladespoolError, now: number): void {
     if (step === Step.UpstreamStart) this.health.noteUnserved(now);
     else this.health.noteFailure(now);
   }
@@ -123,8 +124,13 @@
     onConnected();
     if (noteLostLog(floor, wire.value.initialPosition)) {
       wire.value.close();
-      const place = { step: Step.UpstreamConnect, peer: this.entry.id };
-      return err(gladespoolError(place, 'the upstream has lost what it held'));
+      const context = { step: Step.UpstreamConnect, peer: this.entry.id };
+      return err(
+        gladespoolError(
+          context,
+          'upstream has lost its log: its position is behind the last known one',
+        ),
+      );
     }
     this.health.noteAlive(performance.now());
     return ok(new PreparedConnection(wire.value));
--- a/packages/gateway/src/home/upstream-probe.ts
+++ b/packages/gateway/src/home/upstream-probe.ts
@@ -1,40 +1,43 @@
 /**
- * Asks upstreams for their status on connections of its own, so that a full pool or a dead pooled
- * connection does not pass for a dead upstream.
+ * Probes the status of upstreams on dedicated connections, so that a full pool or a dead pooled connection is not
+ * mistaken for a dead upstream.
  */
 import type { GroupId, Position, UpstreamId } from '@gladespool/coordination';
 import { mayBeSameUpstream, Step, UpstreamFault } from '@gladespool/coordination';
 import type { UpstreamEntry } from '../model/catalog.js';
 import type { UpstreamDriver, UpstreamStatus, DriverConnection } from '../model/upstream-driver.js';
 
-/** The status that an upstream told. */
+/** Status reported by an upstream. */
 export interface StatusResult {
   readonly kind: 'status';
   readonly status: UpstreamStatus;
-  /** Position up to which its reads show the log; undefined if it did not tell. */
+  /** Log position that its reads show; undefined if it was not reported. */
   readonly applied: Position | undefined;
 }
 
-/** What a probe found. */
+/** Result of a probe. */
 export type ProbeResult =
   | StatusResult
-  /** It answers, but gave no status. */
+  /** The upstream answers, but reported no status. */
   | { readonly kind: 'alive' }
-  /** It accepted the connection and did not serve it in time. */
+  /** The upstream accepted the connection, but did not serve it in time. */
   | { readonly kind: 'unserved' }
   | { readonly kind: 'silent' };
 
-/** Time after which an unused connection is closed, milliseconds: they count against the budget. */
+/**
+ * Idle time after which a probe connection is closed, milliseconds: it counts against the upstream's connection
+ * budget.
+ */
 const IDLE_MS = 1500;
 
 interface Channel {
   readonly wire: DriverConnection;
-  /** Entry of the upstream that it was opened to. */
+  /** Entry of the upstream when the connection was opened. */
   readonly entry: UpstreamEntry;
   timer: NodeJS.Timeout;
 }
 
-/** Probes of one host. */
+/** Probes upstreams from one host, with one connection per upstream. */
 export class UpstreamProbe {
   private readonly channels = new Map<UpstreamId, Channel>();
 
@@ -43,19 +46,19 @@
     private readonly onConnected: () => void,
   ) {}
 
-  /** Asks one upstream within `timeoutMs`. */
+  /** Requests the status of one upstream within `timeoutMs`. */
   async ask(entry: UpstreamEntry, group: GroupId, timeoutMs: number): Promise<ProbeResult> {
     const held = this.takeChannel(entry);
-    if (held !== undefined) return this.askOn(held, entry, timeoutMs);
+    if (held !== undefined) return this.requestStatus(held, entry, timeoutMs);
     const startedAt = performance.now();
     const wire = await this.driver.connect(entry, group, timeoutMs, undefined);
-    if (wire.isErr()) return { kind: kindOf(wire.error.step) };
+    if (wire.isErr()) return { kind: resultKindOf(wire.error.step) };
     this.onConnected();
     const leftMs = Math.max(1, timeoutMs - (performance.now() - startedAt));
-    return this.askOn(wire.value, entry, leftMs);
+    return this.requestStatus(wire.value, entry, leftMs);
   }
 
-  /** Closes the connections kept. */
+  /** Closes all probe connections. */
   stop(): void {
     for (const { wire, timer } of this.channels.values()) {
       clearTimeout(timer);
@@ -64,7 +67,7 @@
     this.channels.clear();
   }
 
-  private async askOn(
+  private async requestStatus(
     wire: DriverConnection,
     entry: UpstreamEntry,
     timeoutMs: number,
@@ -104,8 +107,8 @@
   }
 }
 
-/** What a connection tells that could not be opened. */
-function kindOf(failed: Step): 'alive' | 'unserved' | 'silent' {
+/** Result of a probe whose connection could not be opened, by the step that failed. */
+function resultKindOf(failed: Step): 'alive' | 'unserved' | 'silent' {
   if (failed === Step.UpstreamAdmission) return 'alive';
   return failed === Step.UpstreamStart ? 'unserved' : 'silent';
 }
--- a/packages/gateway/src/home/write-flow.ts
+++ b/packages/gateway/src/home/write-flow.ts
@@ -1,6 +1,6 @@
 /**
- * Single writes: sent once to the primary under proved authority, confirmed only if the proof still
- * holds when the answer comes.
+ * Runs single writes: sends them once to the primary while this host holds a valid proof of authority, and confirms
+ * them only if the proof is still valid when the answer arrives.
  */
 import { RefusalReason, RetryReason, UpstreamFault } from '@gladespool/coordination';
 import type { Outcome } from '../model/outcome.js';
@@ -14,23 +14,23 @@
 import type { Job, StatementJob } from './job.js';
 import { isExclusion, primaryExclusion, refuseExcluded } from './upstream-exclusion.js';
 
-/** Times that a write which did not run is sent again. */
+/** Maximum number of times that a write is sent; only one that did not run is sent again. */
 const MAX_TRIES = 3;
 
-/** Runs one write to its outcome. */
+/** Runs one write, including its retries. */
 export async function runWrite(home: GroupHome, job: StatementJob): Promise<Outcome> {
   let last: Outcome = refused(RefusalReason.NoPrimary, home.group);
   for (let count = 0; count < MAX_TRIES; count += 1) {
     if (!(await awaitAuthority(home, job, performance.now()))) {
-      return withoutAuthority(home, job);
+      return refuseWithoutAuthority(home, job);
     }
     const { record } = home;
-    const slot = record === undefined ? undefined : home.pool(record.primary);
-    if (slot === undefined) return last;
-    const borrowed = await borrow(home, slot, job, job.work);
+    const pool = record === undefined ? undefined : home.pool(record.primary);
+    if (pool === undefined) return last;
+    const borrowed = await borrow(home, pool, job, job.work);
     if (borrowed.isErr()) return refuseWithoutConnection(home, borrowed.error);
     const outcome = await writeOnce(home, job, borrowed.value);
-    if (!mayRepeat(outcome)) return outcome;
+    if (!mayResend(outcome)) return outcome;
     last = outcome;
     home.context.metrics.retries.inc({ reason: RetryReason.LostPreparation });
   }
@@ -49,9 +49,9 @@
   }
   const command = lease.connection.commandFor(job.work, job.id, undefined);
   const leftMs = job.arrivedAt + job.route.timeoutMs - performance.now();
-  const leave = home.context.holds.trackWrite(home.group);
+  const untrackWrite = home.context.holds.trackWrite(home.group);
   const { answer } = await send(home, borrowed, command, leftMs);
-  leave();
+  untrackWrite();
   if (answer.kind === 'faulted' && answer.fault === UpstreamFault.UnknownStatement) {
     lease.connection.forgetPrepared();
   }
@@ -59,24 +59,24 @@
   return writeOutcome(home, borrowed, answer);
 }
 
-/** Refusal of work for which no connection to the primary could be had. */
+/** Refusal of work for which no connection to the primary was available. */
 export function refuseWithoutConnection(home: GroupHome, reason: RefusalReason): Outcome {
   if (isExclusion(reason)) return { kind: 'refused', refusal: refuseExcluded(home, reason) };
-  if (reason === RefusalReason.UpstreamUnreachable) return withoutPrimary(home, reason);
+  if (reason === RefusalReason.UpstreamUnreachable) return refuseWithoutPrimary(home, reason);
   return refused(reason, home.group);
 }
 
-function withoutAuthority(home: GroupHome, job: Job): Outcome {
+function refuseWithoutAuthority(home: GroupHome, job: Job): Outcome {
   const excluded = primaryExclusion(home, job, performance.now());
-  if (excluded === undefined) return withoutPrimary(home, RefusalReason.NoAuthority);
+  if (excluded === undefined) return refuseWithoutPrimary(home, RefusalReason.NoAuthority);
   return { kind: 'refused', refusal: refuseExcluded(home, excluded) };
 }
 
-function withoutPrimary(home: GroupHome, reason: RefusalReason): Outcome {
+function refuseWithoutPrimary(home: GroupHome, reason: RefusalReason): Outcome {
   return { kind: 'refused', refusal: home.refuseWithoutPrimary(reason, performance.now()) };
 }
 
-/** Outcome of a commit or single write, given what came back. */
+/** Outcome of a commit or a single write, from the answer of the primary. */
 export function writeOutcome(
   home: GroupHome,
   borrowed: BorrowedConnection,
@@ -99,7 +99,7 @@
   return { kind: 'completed', rows, signature, committed };
 }
 
-/** Only a write that certainly did not run, for want of a prepared statement, is sent again. */
-function mayRepeat(outcome: Outcome): boolean {
+/** Whether the write is sent again: only if it certainly did not run because a prepared statement was unknown. */
+function mayResend(outcome: Outcome): boolean {
   return outcome.kind === 'faulted' && outcome.fault === UpstreamFault.UnknownStatement;
 }
--- a/packages/gateway/src/limits/operation-limits.ts
+++ b/packages/gateway/src/limits/operation-limits.ts
@@ -1,6 +1,6 @@
 /**
- * Admits operations of workspaces within their limits. Each asks the keeper of its workspace's
- * allowance first; operations that begin meanwhile share the next question.
+ * Admits operations of workspaces within their rate limits. Each operation is first requested from the owner, the
+ * host that holds the workspace's allowance. Operations that begin while a request is pending share the next one.
  */
 import type {
   HostId,
@@ -17,61 +17,61 @@
 import type { AllowanceOwner, AllowanceReply } from './allowance-owner.js';
 import type { AllowanceOwnerDirectory } from '../knowledge/allowance-owner-directory.js';
 
-/** Admits operations. */
+/** Rate limits of workspaces. */
 export interface OperationLimits {
-  /** Admits one operation that begins at `now`; else tells why not. */
+  /** Admits one operation that begins at `now`; returns the refusal if it is over the limit, else undefined. */
   admit(workspace: Workspace, now: number): Promise<Refusal | undefined>;
-  /** Gives back an operation that was admitted and of which nothing ran. */
+  /** Refunds an admitted operation of which nothing ran. */
   refund(workspace: Workspace, now: number): void;
 }
 
-/** Limits of a deployment without workspaces. */
+/** Limits of a deployment without workspaces: everything is admitted. */
 export const UNLIMITED: OperationLimits = {
   admit: () => Promise.resolve(undefined),
   refund: () => undefined,
 };
 
-/** What the limits of a host work with. */
+/** Dependencies and settings of the limits of a host. */
 export interface FleetLimitsOptions {
   readonly board: GatewayBoard;
   readonly directory: Pick<AllowanceOwnerDirectory, 'ownersOf'>;
-  readonly keeper: Pick<AllowanceOwner, 'ask'>;
+  readonly keeper: Pick<AllowanceOwner, 'grant'>;
   readonly calls: Pick<PeerCalls, 'request' | 'isReachable'>;
   readonly tolerance: LimitTolerance;
   readonly metrics: HostMetrics;
 }
 
 /**
- * Longest wait for the keeper, milliseconds: a host whose processor quota is spent answers in the next
- * tenth of a second, and what an operation waits is missing from its target latency.
+ * Timeout of a request to the owner, milliseconds: a host that has used up its CPU quota answers within the next
+ * 100 ms, and the wait is at the expense of the operation's target latency.
  */
-const ASK_TIMEOUT_MS = 120;
+const REQUEST_TIMEOUT_MS = 120;
 /**
- * Time for which nobody is asked after no keeper gave an answer, milliseconds. A keeper that is gone is
- * known to be silent after 200 ms, and its stand-in knows the same by then.
+ * Time for which no request is sent after neither the owner nor its stand-in has answered, milliseconds. A stopped
+ * owner is detected as unreachable after 200 ms, by this host and by the stand-in.
  */
-const LOST_PAUSE_MS = 100;
-/** Time for which an operation that was given back may be used for another one, milliseconds. */
-const GIVEN_BACK_MS = 1000;
+const NO_OWNER_PAUSE_MS = 100;
+/** Time for which a refunded operation may be used for another one, milliseconds. */
+const REFUND_TTL_MS = 1000;
 const MS_PER_SECOND = 1000;
 
 type Settle = (refusal: Refusal | undefined) => void;
 
-/** One workspace as this host sees it. */
+/** State of one workspace on this host. */
 interface Account {
   readonly share: LocalLimiter;
-  /** Operations that wait for the keeper's word. */
+  /** Operations that wait for the answer of the owner. */
   waiting: Settle[];
-  asking: boolean;
-  /** Local time before which the keeper grants nothing. */
+  isRequesting: boolean;
+  /** Local time until which the owner grants nothing. */
   refusedUntil: number;
-  /** Local time before which the keeper is not asked, since it gave no answer. */
-  lostUntil: number;
-  /** Local times until which operations that were given back count. */
-  readonly givenBack: number[];
+  /** Local time until which no request is sent, because no owner has answered. */
+  noOwnerUntil: number;
+  /** Local times at which the refunded operations expire. */
+  readonly refunds: number[];
 }
 
-/** Limits over all hosts. */
+/** Rate limits that are enforced over all hosts together. */
 export class FleetLimits implements OperationLimits {
   private readonly accounts = new Map<WorkspaceId, Account>();
 
@@ -81,19 +81,19 @@
     const { id, limit } = workspace;
     if (limit === undefined) return Promise.resolve(undefined);
     const account = this.account(id);
-    if (takeGivenBack(account, now)) return Promise.resolve(undefined);
-    if (now < account.lostUntil) return Promise.resolve(this.admitAlone(id, account, now));
+    if (takeRefund(account, now)) return Promise.resolve(undefined);
+    if (now < account.noOwnerUntil) return Promise.resolve(this.admitLocally(id, account, now));
     if (now < account.refusedUntil) {
       return Promise.resolve(overLimit(id, account.refusedUntil - now));
     }
     return new Promise((resolve) => {
       account.waiting.push(resolve);
-      if (!account.asking) void this.askForWaiting(id, account);
+      if (!account.isRequesting) void this.requestForWaiting(id, account);
     });
   }
 
   refund({ id, limit }: Workspace, now: number): void {
-    if (limit !== undefined) this.account(id).givenBack.push(now + GIVEN_BACK_MS);
+    if (limit !== undefined) this.account(id).refunds.push(now + REFUND_TTL_MS);
   }
 
   private account(workspace: WorkspaceId): Account {
@@ -102,43 +102,46 @@
     const account: Account = {
       share: new LocalLimiter(this.options.tolerance.windowS * MS_PER_SECOND),
       waiting: [],
-      asking: false,
+      isRequesting: false,
       refusedUntil: Number.NEGATIVE_INFINITY,
-      lostUntil: Number.NEGATIVE_INFINITY,
-      givenBack: [],
+      noOwnerUntil: Number.NEGATIVE_INFINITY,
+      refunds: [],
     };
     this.accounts.set(workspace, account);
     return account;
   }
 
-  /** Asks until nobody waits any more; whoever waits behind a keeper that is lost waits no longer. */
-  private async askForWaiting(workspace: WorkspaceId, account: Account): Promise<void> {
-    account.asking = true;
+  /** Sends requests until no operation waits; if no owner answers, all that wait by then are decided locally. */
+  private async requestForWaiting(workspace: WorkspaceId, account: Account): Promise<void> {
+    account.isRequesting = true;
     while (account.waiting.length > 0) {
-      const asking = account.waiting;
+      const waiting = account.waiting;
       account.waiting = [];
-      const answer = await this.ask(workspace, asking.length);
+      const answer = await this.request(workspace, waiting.length);
       const now = performance.now();
-      if (answer !== undefined) settleBy(workspace, account, asking, answer, now);
-      else this.settleAlone(workspace, account, [...asking, ...account.waiting.splice(0)], now);
+      if (answer !== undefined) settleWithGrant(workspace, account, waiting, answer, now);
+      else this.settleLocally(workspace, account, [...waiting, ...account.waiting.splice(0)], now);
     }
-    account.asking = false;
+    account.isRequesting = false;
   }
 
-  /** Asks the keeper, and its stand-in if the keeper gives no answer. */
-  private async ask(workspace: WorkspaceId, wanted: number): Promise<AllowanceReply | undefined> {
+  /** Requests operations from the owner, and from its stand-in if the owner does not grant. */
+  private async request(
+    workspace: WorkspaceId,
+    wanted: number,
+  ): Promise<AllowanceReply | undefined> {
     const { board, directory, keeper } = this.options;
     for (const host of directory.ownersOf(workspace)) {
       const isOwn = host === board.host;
       const answer = isOwn
-        ? keeper.ask(workspace, wanted, performance.now())
-        : await this.askPeer(host, workspace, wanted);
+        ? keeper.grant(workspace, wanted, performance.now())
+        : await this.requestFromPeer(host, workspace, wanted);
       if (answer?.kept === true) return answer;
     }
     return undefined;
   }
 
-  private async askPeer(
+  private async requestFromPeer(
     host: HostId,
     workspace: WorkspaceId,
     wanted: number,
@@ -149,24 +152,24 @@
     const answer = await calls.request(
       peer,
       (id) => ({ kind: FrameKind.AllowanceRequest, id, workspace, wanted }),
-      ASK_TIMEOUT_MS,
+      REQUEST_TIMEOUT_MS,
     );
     const frame = answer.isOk() ? answer.value : undefined;
     return frame?.kind === FrameKind.AllowanceReply ? frame : undefined;
   }
 
-  private settleAlone(
+  private settleLocally(
     workspace: WorkspaceId,
     account: Account,
-    asking: readonly Settle[],
+    waiting: readonly Settle[],
     now: number,
   ): void {
-    account.lostUntil = now + LOST_PAUSE_MS;
-    for (const settle of asking) settle(this.admitAlone(workspace, account, now));
+    account.noOwnerUntil = now + NO_OWNER_PAUSE_MS;
+    for (const settle of waiting) settle(this.admitLocally(workspace, account, now));
   }
 
-  /** Decides without the keeper. */
-  private admitAlone(workspace: WorkspaceId, account: Account, now: number): Refusal | undefined {
+  /** Decides locally, while no owner answers. */
+  private admitLocally(workspace: WorkspaceId, account: Account, now: number): Refusal | undefined {
     const { metrics, board } = this.options;
     const [host] = this.options.directory.ownersOf(workspace);
     metrics.localLimitDecisions.inc();
@@ -179,18 +182,18 @@
   }
 }
 
-/** Settles questions by what the keeper granted; the first ones go first. */
-function settleBy(
+/** Admits as many of the waiting operations as the owner granted, in order of arrival, and refuses the others. */
+function settleWithGrant(
   workspace: WorkspaceId,
   account: Account,
-  asking: readonly Settle[],
+  waiting: readonly Settle[],
   answer: AllowanceReply,
   now: number,
 ): void {
   const { granted, retryAfterMs } = answer;
-  account.lostUntil = Number.NEGATIVE_INFINITY;
+  account.noOwnerUntil = Number.NEGATIVE_INFINITY;
   account.refusedUntil = now + retryAfterMs;
-  for (const [index, settle] of asking.entries()) {
+  for (const [index, settle] of waiting.entries()) {
     if (index >= granted) {
       settle(overLimit(workspace, retryAfterMs));
       continue;
@@ -205,11 +208,11 @@
   return { ...refusal, retryAfterMs: Math.max(1, Math.ceil(waitMs)) };
 }
 
-function takeGivenBack(account: Account, now: number): boolean {
-  const { givenBack } = account;
-  while (givenBack.length > 0) {
-    const until = givenBack.shift() ?? 0;
-    if (until > now) return true;
+function takeRefund(account: Account, now: number): boolean {
+  const { refunds } = account;
+  while (refunds.length > 0) {
+    const expiresAt = refunds.shift() ?? 0;
+    if (expiresAt > now) return true;
   }
   return false;
 }
--- a/packages/gateway/tests/begin-with-statement.feature
+++ b/packages/gateway/tests/begin-with-statement.feature
@@ -1,9 +1,9 @@
-Feature: A transaction's first statement travels with its opening
+Feature: The first statement of a transaction is forwarded together with its begin
 
-  Scenario Outline: One question opens the transaction and runs its first statement
+  Scenario Outline: One request begins the transaction and runs its first statement
     Given a host that forwards to a home whose statements end as "<end>"
     When a transaction begins with a statement that <does>
-    Then one question was asked, and the statement ended as "<end>"
+    Then one request was sent, and the statement ended as "<end>"
     And the transaction is <state> at the home
 
     Examples:
@@ -12,14 +12,14 @@
       | writes | completed | open  |                                          |
       | writes | faulted   | over  | a statement that fails ends it, once     |
 
-  Scenario: The statement after the first is a question of its own
+  Scenario: The second statement is a request of its own
     Given a host that forwards to a home whose statements end as "completed"
     When a transaction begins with a statement that reads
-    And it runs another one
-    Then 2 questions were asked
+    And it runs another statement
+    Then 2 requests were sent
 
-  Scenario: A commit whose answer is lost is in doubt where only the first statement wrote
+  Scenario: A commit whose reply is lost is in doubt, even if only the first statement wrote
     Given a host that forwards to a home whose statements end as "completed"
     When a transaction begins with a statement that writes
-    And the home falls silent at its commit
+    And the home does not reply to its commit
     Then the commit ends as "peer-lost"
--- a/packages/gateway/tests/begin-with-statement.steps.ts
+++ b/packages/gateway/tests/begin-with-statement.steps.ts
@@ -25,7 +25,7 @@
 
 interface BeginWorld {
   home: FakeHome;
-  asked: number;
+  requestCount: number;
   isSilent: boolean;
   remote: RemoteExecutor;
   opened: OpenTransaction;
@@ -34,12 +34,12 @@
 
 const PEER = { host: 'home', address: 'none', port: 1 };
 const STATEMENT_MS = 1000;
-const ENDS: Readonly<Record<string, Outcome>> = {
+const OUTCOMES: Readonly<Record<string, Outcome>> = {
   completed: { kind: 'completed', rows: [], signature: 's', committed: undefined },
   faulted: { kind: 'faulted', fault: UpstreamFault.Other, code: 'FAILED', text: '' },
 };
 
-/** Home whose statements all end alike. */
+/** Home whose statements all have the same outcome. */
 class FakeHome implements Executor, OpenTransaction {
   rolledBack = 0;
 
@@ -62,24 +62,24 @@
   }
 }
 
-/** Calls that hand each question to the service of a home, and its reply back. */
+/** Peer calls that pass each request to the forward service of a home, and return its reply. */
 function callsTo(world: BeginWorld, service: ForwardService): ForwardCalls {
   return {
     request: (_peer, build) => {
-      world.asked += 1;
-      if (world.isSilent) return Promise.resolve(err(silence()));
+      world.requestCount += 1;
+      if (world.isSilent) return Promise.resolve(err(noAnswer()));
       return new Promise((resolve) => {
-        const link = linkThat((frame) => {
+        const link = fakeLink((frame) => {
           resolve(ok(frame as FrameOf<FrameKind.ForwardReply>));
         });
-        service.onFrame(link, build(world.asked));
+        service.onFrame(link, build(world.requestCount));
       });
     },
     notify: () => Promise.resolve(true),
   };
 }
 
-function linkThat(send: (frame: Frame) => void): PeerLink {
+function fakeLink(send: (frame: Frame) => void): PeerLink {
   const link = {
     ready: true,
     send: (frame: Frame) => {
@@ -90,7 +90,7 @@
   return link as unknown as PeerLink;
 }
 
-function silence(): GladespoolError {
+function noAnswer(): GladespoolError {
   return gladespoolError({ step: Step.PeerExchange, peer: PEER.host }, 'no answer in time');
 }
 
@@ -119,10 +119,10 @@
 Given(
   'a host that forwards to a home whose statements end as {string}',
   function (this: BeginWorld, end: string) {
-    const outcome = ENDS[end];
+    const outcome = OUTCOMES[end];
     assert.ok(outcome);
     this.home = new FakeHome(outcome);
-    this.asked = 0;
+    this.requestCount = 0;
     this.isSilent = false;
     const service = new ForwardService(this.home, new GatewayBoard(hostId('home'), azId('z')));
     this.remote = new RemoteExecutor(callsTo(this, service), PEER);
@@ -137,19 +137,19 @@
   this.opened = (await this.remote.begin(jobOf(Access.Write)))._unsafeUnwrap();
 });
 
-When('it runs another one', async function (this: BeginWorld) {
+When('it runs another statement', async function (this: BeginWorld) {
   assert.equal((await this.opened.run(stepOf())).kind, 'completed');
 });
 
-When('the home falls silent at its commit', async function (this: BeginWorld) {
+When('the home does not reply to its commit', async function (this: BeginWorld) {
   this.isSilent = true;
   this.committed = await this.opened.commit('r', performance.now());
 });
 
 Then(
-  'one question was asked, and the statement ended as {string}',
+  'one request was sent, and the statement ended as {string}',
   function (this: BeginWorld, end: string) {
-    assert.equal(this.asked, 1);
+    assert.equal(this.requestCount, 1);
     assert.equal(this.opened.first?.kind, end);
   },
 );
@@ -164,8 +164,8 @@
   assert.equal(outcome.kind === 'refused' && outcome.refusal.reason, 'transaction-lost');
 });
 
-Then('{int} questions were asked', function (this: BeginWorld, count: number) {
-  assert.equal(this.asked, count);
+Then('{int} requests were sent', function (this: BeginWorld, count: number) {
+  assert.equal(this.requestCount, count);
   this.opened.rollback();
 });
 
