--- a/packages/gateway/tests/bound-regions-in-action.steps.ts
+++ b/packages/gateway/tests/bound-regions-in-action.steps.ts
@@ -34,70 +34,70 @@
   outcomes: readonly Outcome[];
   regions: readonly RegionId[];
   held: readonly RegionId[] | undefined;
-  /** Names of all that was asked in the random courses. */
-  asked: Asked;
+  /** Upstream zones and hosts that were contacted in the random scenarios. */
+  contacted: Contacted;
 }
 
 const SEED = 20_261;
 const RUNS = 150;
-/** Time of a statement, milliseconds; all that is asked fails at once. */
+/** Timeout of a statement, milliseconds; all calls fail at once. */
 const STATEMENT_MS = 20;
 const REGIONS = ['r0', 'r1', 'r2'].map(regionId);
 const ZONES = ['z0', 'z1', 'z2', 'z3', 'z4'].map(azId);
 const HOSTS = 6;
 
-const bound = fc.option(fc.subarray(REGIONS), { nil: undefined });
-const zone = fc.constantFrom(...ZONES);
-const dealOf = fc.record({
-  /** Region of each zone; undefined where the settings don't tell it. */
+const regionsArbitrary = fc.option(fc.subarray(REGIONS), { nil: undefined });
+const zoneArbitrary = fc.constantFrom(...ZONES);
+const scenarioArbitrary = fc.record({
+  /** Region of each zone; undefined if the settings do not name it. */
   regions: fc.array(fc.option(fc.constantFrom(...REGIONS), { nil: undefined }), {
     minLength: ZONES.length,
     maxLength: ZONES.length,
   }),
-  hosts: fc.array(zone, { minLength: HOSTS, maxLength: HOSTS }),
-  upstreams: fc.array(zone, { minLength: 1, maxLength: 4 }),
-  ofRoute: bound,
-  ofWorkspace: bound,
+  hosts: fc.array(zoneArbitrary, { minLength: HOSTS, maxLength: HOSTS }),
+  upstreams: fc.array(zoneArbitrary, { minLength: 1, maxLength: 4 }),
+  routeRegions: regionsArbitrary,
+  workspaceRegions: regionsArbitrary,
   isBounded: fc.boolean(),
   hasMark: fc.boolean(),
   work: fc.constantFrom('read', 'write', 'begin', 'begin-read'),
   evacuated: fc.subarray(ZONES, { maxLength: 1 }),
 });
-type Deal = typeof dealOf extends fc.Arbitrary<infer T> ? T : never;
+type Scenario = typeof scenarioArbitrary extends fc.Arbitrary<infer T> ? T : never;
 
-/** Zones of the upstreams and names of the hosts that were asked. */
-interface Asked {
+/** Zones of the upstreams and names of the hosts that were contacted. */
+interface Contacted {
   readonly upstreams: AzId[];
   readonly hosts: string[];
 }
 
 const FAILED = gladespoolError({ step: Step.PeerExchange, peer: 'p' }, 'fails');
 
-function failingDriver(asked: Asked): UpstreamDriver {
+function failingDriver(contacted: Contacted): UpstreamDriver {
   return {
     connect: (entry) => {
-      asked.upstreams.push(entry.az);
+      contacted.upstreams.push(entry.az);
       return Promise.resolve(err(FAILED));
     },
     readStatus: () => undefined,
   };
 }
 
-function failingCalls(asked: Asked): PeerCalls {
+function failingCalls(contacted: Contacted): PeerCalls {
   const ask = (peer: PeerAddress): Promise<Result<never, GladespoolError>> => {
-    asked.hosts.push(peer.host);
+    contacted.hosts.push(peer.host);
     return Promise.resolve(err(FAILED));
   };
   return { isReachable: () => true, ask, tell: () => undefined } as unknown as PeerCalls;
 }
 
-function topologyOf({ regions }: Deal): Topology {
-  const told = new Map<AzId, RegionId>();
+function topologyOf({ regions }: Scenario): Topology {
+  const known = new Map<AzId, RegionId>();
   for (const [index, region] of regions.entries()) {
     const az = ZONES[index];
-    if (az !== undefined && region !== undefined) told.set(az, region);
+    if (az !== undefined && region !== undefined) known.set(az, region);
   }
-  return new Topology(told);
+  return new Topology(known);
 }
 
 function upstreamAt(az: AzId, index: number): UpstreamEntry {
@@ -113,21 +113,21 @@
   return new Map([[host, entry]]);
 }
 
-function fillBoard(board: GatewayBoard, deal: Deal, now: number): void {
-  const upstreams = deal.upstreams.map(upstreamAt);
+function fillBoard(board: GatewayBoard, scenario: Scenario, now: number): void {
+  const upstreams = scenario.upstreams.map(upstreamAt);
   board.putUpstreams(new Map(upstreams.map((entry) => [entry.id, entry])));
-  board.putHosts(new Map(deal.hosts.flatMap((az, index) => [...hostAt(az, index)])));
-  board.putEvacuations(new Map(deal.evacuated.map((az) => [az, now])));
+  board.putHosts(new Map(scenario.hosts.flatMap((az, index) => [...hostAt(az, index)])));
+  board.putEvacuations(new Map(scenario.evacuated.map((az) => [az, now])));
   const record = { group: GROUP, epoch: 1, phase: RecordPhase.Serving };
   board.putRecord({ ...record, primary: upstreamId('u0'), holder: hostId('h0') });
   board.recordProof(now);
 }
 
-function jobOf(deal: Deal, now: number): BeginJob {
+function jobOf(scenario: Scenario, now: number): BeginJob {
   const route = {
     database: DATABASE,
     group: GROUP,
-    consistency: deal.isBounded ? Consistency.BoundedStaleness : Consistency.Primary,
+    consistency: scenario.isBounded ? Consistency.BoundedStaleness : Consistency.Primary,
     maxStalenessMs: 1500,
     timeoutMs: STATEMENT_MS,
     targetLatencyMs: STATEMENT_MS,
@@ -136,48 +136,52 @@
   };
   const session = { values: new Map<string, string>(), own: undefined, workspace: undefined };
   const times = { beganAt: now, arrivedAt: now };
-  const regions = permittedRegions(deal.ofRoute, deal.ofWorkspace);
-  const readOnly = deal.work === 'begin-read';
+  const regions = permittedRegions(scenario.routeRegions, scenario.workspaceRegions);
+  const readOnly = scenario.work === 'begin-read';
   return { route, id: 'r', ...session, ...times, readOnly, ...(regions && { regions }) };
 }
 
-async function runDeal(deal: Deal): Promise<Asked> {
-  const asked: Asked = { upstreams: [], hosts: [] };
+async function runScenario(scenario: Scenario): Promise<Contacted> {
+  const contacted: Contacted = { upstreams: [], hosts: [] };
   const now = performance.now();
-  const board = new GatewayBoard(hostId('h0'), deal.hosts[0] ?? azId('z0'), topologyOf(deal));
-  const context = homeContext(board, failingDriver(asked));
-  fillBoard(board, deal, now);
+  const board = new GatewayBoard(
+    hostId('h0'),
+    scenario.hosts[0] ?? azId('z0'),
+    topologyOf(scenario),
+  );
+  const context = homeContext(board, failingDriver(contacted));
+  fillBoard(board, scenario, now);
   const local = new LocalExecutor(context);
-  if (deal.hasMark) {
+  if (scenario.hasMark) {
     const { marks } = local.home(GROUP);
     marks.startEpoch(1);
     marks.add({ sentAt: now, position: { term: 1, offset: 1 } });
   }
   const { directory, reach, metrics, log } = context;
   reach.put(GROUP, 1, [...board.hosts.keys()].slice(1), now);
-  const calls = failingCalls(asked);
+  const calls = failingCalls(contacted);
   const home = (group: GroupId): GroupHome => local.home(group);
   const startedAt = Number.NEGATIVE_INFINITY;
   const shared = { board, local, home, calls, directory, reach, metrics, log };
   const routed = new RoutedExecutor({ ...shared, startedAt });
-  const job = jobOf(deal, now);
-  if (deal.work.startsWith('begin')) {
+  const job = jobOf(scenario, now);
+  if (scenario.work.startsWith('begin')) {
     await routed.begin(job);
   } else {
-    const access = deal.work === 'read' ? Access.Read : Access.Write;
+    const access = scenario.work === 'read' ? Access.Read : Access.Write;
     await routed.run({ ...job, work: { kind: 'text', access, text: 'x' } });
   }
-  const hostZones = asked.hosts.map((host) => board.hosts.get(hostId(host))?.az);
-  for (const az of [...asked.upstreams, ...hostZones]) {
+  const hostZones = contacted.hosts.map((host) => board.hosts.get(hostId(host))?.az);
+  for (const az of [...contacted.upstreams, ...hostZones]) {
     assert.ok(az !== undefined && isPermitted(az, job.regions, board.topology), az);
   }
-  return asked;
+  return contacted;
 }
 
 Given(
-  'random zones, hosts and upstreams, some bound routes and workspaces, and hosts that all fail',
+  'random zones, hosts and upstreams, some routes and workspaces restricted to regions, and calls that all fail',
   function (this: BoundWorld) {
-    this.asked = { upstreams: [], hosts: [] };
+    this.contacted = { upstreams: [], hosts: [] };
   },
 );
 
@@ -185,27 +189,30 @@
   'reads, writes and transactions run on one of the hosts',
   { timeout: 60_000 },
   async function (this: BoundWorld) {
-    const course = fc.asyncProperty(dealOf, async (deal) => {
-      const { upstreams, hosts } = await runDeal(deal);
-      this.asked.upstreams.push(...upstreams);
-      this.asked.hosts.push(...hosts);
+    const property = fc.asyncProperty(scenarioArbitrary, async (scenario) => {
+      const { upstreams, hosts } = await runScenario(scenario);
+      this.contacted.upstreams.push(...upstreams);
+      this.contacted.hosts.push(...hosts);
     });
-    await fc.assert(course, { seed: SEED, numRuns: RUNS });
+    await fc.assert(property, { seed: SEED, numRuns: RUNS });
   },
 );
 
-Then('only upstreams and other hosts in permitted regions were asked', function (this: BoundWorld) {
-  // Each course was checked as it ran; here, that they asked any.
-  assert.ok(this.asked.upstreams.length > 0 && this.asked.hosts.length > 0);
-});
+Then(
+  'only upstreams and other hosts in permitted regions were contacted',
+  function (this: BoundWorld) {
+    // Each scenario was checked as it ran; this checks that any upstreams and hosts were contacted at all.
+    assert.ok(this.contacted.upstreams.length > 0 && this.contacted.hosts.length > 0);
+  },
+);
 
 function regionsOf(words: string): readonly RegionId[] | undefined {
   if (words === 'anywhere') return undefined;
   return words === 'nowhere' ? [] : words.split(',').map(regionId);
 }
 
-/** A deployment of three zones, each in a region of its own, whose route is bound to `regions`. */
-function deploymentBoundTo(regions: string): FakeDeployment {
+/** A deployment of three zones, each in a region of its own, with a route that is restricted to `regions`. */
+function deploymentRestrictedTo(regions: string): FakeDeployment {
   const deployment = new FakeDeployment();
   const regionOfZone = REGIONS.map((region, index) => [azId(`z${index}`), region] as const);
   deployment.topology = new Topology(new Map(regionOfZone));
@@ -217,17 +224,17 @@
   '{int} hosts in the regions r0, r1 and r2 that serve a group whose data may be in {string}',
   { timeout: 20_000 },
   async function (this: BoundWorld, count: number, regions: string) {
-    this.deployment = deploymentBoundTo(regions);
+    this.deployment = deploymentRestrictedTo(regions);
     await this.deployment.start(count);
   },
 );
 
 Given(
-  '{int} hosts in the regions r0, r1 and r2 that serve data of {string} to a workspace of {string}',
+  '{int} hosts in the regions r0, r1 and r2 that serve a route restricted to {string} to a workspace restricted to {string}',
   { timeout: 20_000 },
   async function (this: BoundWorld, count: number, ofRoute: string, ofWorkspace: string) {
-    this.deployment = deploymentBoundTo(ofRoute);
-    // Far above what is asked: a keeper that has just taken over grants by its rate alone.
+    this.deployment = deploymentRestrictedTo(ofRoute);
+    // Far above the demand, because a new owner of the allowance starts without the burst and grants by the rate alone.
     this.deployment.limit = { ratePerS: 1_000_000, burst: 1000 };
     this.deployment.workspaceRegions = regionsOf(ofWorkspace);
     await this.deployment.start(count);
@@ -268,21 +275,21 @@
   const peer = { host: 'p', address: '127.0.0.1', port: 1 };
   const remote = new RemoteExecutor({ ask } as unknown as PeerCalls, peer);
   const now = performance.now();
-  const job = { ...jobOf(OPEN_DEAL, now), regions: this.regions };
+  const job = { ...jobOf(UNRESTRICTED, now), regions: this.regions };
   await remote.run({ ...job, work: { kind: 'text', access: Access.Read, text: 'x' } });
 });
 
-Then('the other host holds it to {string}', function (this: BoundWorld, regions: string) {
+Then('the other host restricts it to {string}', function (this: BoundWorld, regions: string) {
   assert.deepEqual(this.held, regionsOf(regions));
 });
 
-/** A deal that binds nothing. */
-const OPEN_DEAL: Deal = {
+/** A scenario without restrictions. */
+const UNRESTRICTED: Scenario = {
   regions: [],
   hosts: [],
   upstreams: [],
-  ofRoute: undefined,
-  ofWorkspace: undefined,
+  routeRegions: undefined,
+  workspaceRegions: undefined,
   isBounded: false,
   hasMark: false,
   work: 'read',
--- a/packages/gateway/tests/evacuation.feature
+++ b/packages/gateway/tests/evacuation.feature
@@ -1,7 +1,7 @@
-Feature: Upstreams of an evacuated zone get no work any more
+Feature: Upstreams of an evacuated zone receive no more work
 
-  Scenario Outline: How old an evacuation may be when a host learns of it
-    Given a host whose documents were surely those of the store at <current>
+  Scenario Outline: Age of an evacuation when a host learns of it
+    Given a host whose documents were last known to be current at <current>
     When it learns at 5000 ms that zone z1 is evacuated
     Then the zone counts as in use until <inUseAt>
 
@@ -12,13 +12,13 @@
       | never   | never   | a host that starts can not tell              |
       | 5100    | 5000    | not later than it was learned                |
 
-  Scenario Outline: Where work may go
-    Given upstreams u0, u1 and u2 in the zones z0, z1 and z2, u0 the primary, "<leaving>" leaving
+  Scenario Outline: Upstreams that work may be sent to
+    Given upstreams u0, u1 and u2 in the zones z0, z1 and z2, u0 the primary, "<leaving>" draining
     And zones evacuated since "<evacuated>" ms
-    When a <work> is planned until nothing new is found
-    Then it may go to "<targets>"
+    When a <work> is planned until no further upstream is found
+    Then it may be sent to "<targets>"
 
-    # zone:milliseconds since it was surely in use, of the 5000 until it has to be left
+    # zone:milliseconds since it was last known to be in use, of an evacuation time of 5000
     Examples:
       | evacuated              | leaving | work         | targets           | why                                              |
       |                        |         | bounded read | u0,u1,u2          | nothing is evacuated                             |
@@ -37,19 +37,19 @@
       | z0:0,z1:0,z2:0         |         | write        | zone-evacuated    | nobody could follow                              |
       | z0:0,z1:0,z2:0         |         | primary read | zone-evacuated    | nobody could follow                              |
 
-  Scenario: Work that only an evacuated primary could run waits for nothing
-    Given upstreams u0, u1 and u2 in the zones z0, z1 and z2, u0 the primary, "" leaving
+  Scenario: Work that only an evacuated primary could run is not held
+    Given upstreams u0, u1 and u2 in the zones z0, z1 and z2, u0 the primary, "" draining
     And zones evacuated since "z0:2500" ms
-    Then a write with a time of 600000 ms is not held
+    Then a write with a timeout of 600000 ms is not held
 
-  Scenario: A zone has to be left while a statement waits for a connection
-    Given upstreams u0, u1 and u2 in the zones z0, z1 and z2, u0 the primary, "" leaving
-    When "z0:2500" ms pass since zones were in use while a statement waits for a connection to u0
-    Then it is refused as not run, since the zone is evacuated
+  Scenario: The evacuation of a zone ends while a statement waits for a connection
+    Given upstreams u0, u1 and u2 in the zones z0, z1 and z2, u0 the primary, "" draining
+    When a zone has been evacuated for "z0:2500" ms while a statement waits for a connection to u0
+    Then it is refused as not run, because the zone is evacuated
 
-  Scenario Outline: The primary of an evacuated zone is handed over, and no write fails meanwhile
+  Scenario Outline: The primary moves out of an evacuated zone, and no write fails meanwhile
     Given 3 hosts that serve a group
-    When the zones "<zones>" are evacuated, and hosts write all the time
+    When the zones "<zones>" are evacuated while hosts keep writing
     Then another upstream becomes the primary under one fence
     And no write failed, and none ran at the former primary after the change
     And the primary is in none of the zones "<zones>"
@@ -59,9 +59,9 @@
       | z0    |
       | z0,z1 |
 
-  Scenario: Replicas confirm commits, and the one outside follows
-    Given 3 hosts that serve a group whose commits 1 replica confirms
-    When the zones "z0,z1" are evacuated, and hosts write all the time
+  Scenario: A replica outside the evacuated zones is promoted if replicas acknowledge commits
+    Given 3 hosts that serve a group whose commits 1 replica acknowledges
+    When the zones "z0,z1" are evacuated while hosts keep writing
     Then another upstream becomes the primary under one fence
     And the primary is in none of the zones "z0,z1"
 
@@ -70,51 +70,51 @@
     When each host writes until it succeeds
     Then nothing has run at the former primary
 
-  Scenario: A successor is behind, and the evacuation is taken back
-    Given 3 hosts that serve a group whose zones have to be left within 1000 ms
-    When no replica receives any more, and the zones "z0" are evacuated
-    Then each host is refused as not run, with when to come back, and nothing runs in "z0" once the time is over
+  Scenario: All replicas lag, and the evacuation is cancelled
+    Given 3 hosts that serve a group with an evacuation time of 1000 ms
+    When the replicas stop receiving, and the zones "z0" are evacuated
+    Then each host is refused as not run, with a retry time, and nothing runs in "z0" after the evacuation time
     And no promotion is called for
     When the zones "z0" are no longer evacuated
     Then every host writes again
 
-  Scenario: The store is away after the request
-    Given 3 hosts that serve a group whose zones have to be left within 1000 ms
-    When no replica receives any more, and the zones "z0" are evacuated
-    And the store goes away once all hosts know of it
-    Then each host is refused as not run, with when to come back, and nothing runs in "z0" once the time is over
-    When the store is back and the replicas have received everything
+  Scenario: The store is unavailable after an evacuation was requested
+    Given 3 hosts that serve a group with an evacuation time of 1000 ms
+    When the replicas stop receiving, and the zones "z0" are evacuated
+    And the store becomes unavailable once all hosts know of it
+    Then each host is refused as not run, with a retry time, and nothing runs in "z0" after the evacuation time
+    When the store is available again and the replicas have received everything
     Then another upstream becomes the primary under one fence
 
-  Scenario Outline: The zone of the successor is evacuated during the change
+  Scenario Outline: The zone of the successor is evacuated during the promotion
     Given 3 hosts that serve a group
-    When the zones "z0" are evacuated, and "z1" as soon as the change is <moment>
-    Then the primary is u2 at last, and every host writes there
+    When the zones "z0" are evacuated, and "z1" as soon as the promotion is <moment>
+    Then the primary is finally u2, and every host writes there
 
     Examples:
       | moment     |
       | claimed    |
       | called for |
 
-  Scenario: An evacuation is taken back during the change
+  Scenario: An evacuation is cancelled during the promotion
     Given 3 hosts that serve a group whose reads may be 1500 ms old
-    When the zones "z0" are evacuated, and no longer as soon as the change is claimed
+    When the zones "z0" are evacuated, and no longer as soon as the promotion is claimed
     Then every host writes again
     And the upstream of the zone is read from again
 
   Scenario: All zones of a group are evacuated
     Given 3 hosts that serve a group
     When the zones "z0,z1,z2" are evacuated, and all hosts know of it
-    Then each host is refused for the evacuation
+    Then each host is refused because of the evacuation
     And each host's gauge shows 3 evacuated zones
     And no promotion is called for
 
-  Scenario Outline: An open transaction goes on for a part of the time, then it is over
-    Given 3 hosts that serve a group whose zones have to be left within 1000 ms
+  Scenario Outline: An open transaction may continue for a part of the evacuation time, then it is rolled back
+    Given 3 hosts that serve a group with an evacuation time of 1000 ms
     And a transaction that wrote on the primary
-    When no replica receives any more, and the zones "z0" are evacuated
-    And the transaction <goes on> until the time is over
-    Then its <end> is told that it was rolled back
+    When the replicas stop receiving, and the zones "z0" are evacuated
+    And the transaction <goes on> until the evacuation time is over
+    Then its <end> is refused because it was rolled back
 
     Examples:
       | goes on           | end       |
--- a/packages/gateway/tests/evacuation.steps.ts
+++ b/packages/gateway/tests/evacuation.steps.ts
@@ -39,23 +39,23 @@
 }
 
 interface EvacuatedWorld extends ActionWorld {
-  /** When the latest evacuation was stored. */
+  /** Local time at which the latest evacuation was stored. */
   storedAt: number;
   transaction: OpenTransaction;
-  /** Last outcome of the open transaction's statements. */
+  /** Outcome of the latest statement of the open transaction. */
   last: Outcome;
 }
 
 const NOW = 10_000;
-const PATIENT = { timeout: 20_000 };
-const STEP_MS = 10;
+const SLOW_STEP = { timeout: 20_000 };
+const RETRY_MS = 10;
 
 function splitList(words: string): readonly string[] {
   return words === '' ? [] : words.split(',');
 }
 
 Given(
-  /^a host whose documents were surely those of the store at (\w+)$/,
+  /^a host whose documents were last known to be current at (\w+)$/,
   function (this: PlanWorld, current: string) {
     this.board = new GatewayBoard(hostId('h1'), azId('z1'));
     const reader = fakeReader(this.board);
@@ -83,7 +83,7 @@
   assert.equal(this.board.evacuations.get(azId('z1')), expected);
 });
 
-function entryOf(index: number, leaving: readonly string[]): UpstreamEntry {
+function entryOf(index: number, draining: readonly string[]): UpstreamEntry {
   const id = upstreamId(`u${index}`);
   return {
     id,
@@ -93,12 +93,12 @@
     az: azId(`z${index}`),
     role: ReportedRole.Replica,
     slots: 3,
-    draining: leaving.includes(id),
+    draining: draining.includes(id),
   };
 }
 
 Given(
-  'upstreams u0, u1 and u2 in the zones z0, z1 and z2, u0 the primary, {string} leaving',
+  'upstreams u0, u1 and u2 in the zones z0, z1 and z2, u0 the primary, {string} draining',
   function (this: PlanWorld, leaving: string) {
     this.board = new GatewayBoard(hostId('h0'), azId('z0'));
     const entries = [0, 1, 2].map((index) => entryOf(index, splitList(leaving)));
@@ -144,7 +144,7 @@
   return { route, id: 'r', ...session, beganAt: NOW, arrivedAt: NOW };
 }
 
-/** Every upstream that the plan names while those it named before have failed, or why it names none. */
+/** All upstreams that the plan selects if those selected before have failed, or the reason for which it selects none. */
 function targetsOf(home: GroupHome, work: string): string {
   const isBounded = work === 'bounded read';
   const job = jobOf(isBounded ? Consistency.BoundedStaleness : Consistency.Primary, 3000);
@@ -159,33 +159,33 @@
 }
 
 When(
-  /^a (bounded read|primary read|write) is planned until nothing new is found$/,
+  /^a (bounded read|primary read|write) is planned until no further upstream is found$/,
   function (this: PlanWorld, work: string) {
     this.targets = targetsOf(this.home, work);
   },
 );
 
-Then('it may go to {string}', function (this: PlanWorld, targets: string) {
+Then('it may be sent to {string}', function (this: PlanWorld, targets: string) {
   assert.equal(this.targets, targets);
 });
 
 Then(
-  'a write with a time of {int} ms is not held',
+  'a write with a timeout of {int} ms is not held',
   async function (this: PlanWorld, timeoutMs: number) {
     const held = await awaitAuthority(this.home, jobOf(Consistency.Primary, timeoutMs), NOW);
     assert.equal(held, false);
   },
 );
 
-/** Waits until each host knows how new its documents are; one that does not takes no evacuation for new. */
-async function untilCurrent({ deployment }: EvacuatedWorld): Promise<void> {
+/** Waits until each host knows the age of its documents; until then it takes every evacuation for an old one. */
+async function waitUntilCurrent({ deployment }: EvacuatedWorld): Promise<void> {
   await deployment.until(() =>
     deployment.hosts.every(({ gateway }) => Number.isFinite(gateway.board.catalogConfirmedAt)),
   );
 }
 
 When(
-  '{string} ms pass since zones were in use while a statement waits for a connection to u0',
+  'a zone has been evacuated for {string} ms while a statement waits for a connection to u0',
   async function (this: PlanWorld, evacuated: string) {
     const connect = this.driver.connect.bind(this.driver);
     this.driver.connect = (...args) => {
@@ -201,7 +201,7 @@
   },
 );
 
-Then('it is refused as not run, since the zone is evacuated', function (this: PlanWorld) {
+Then('it is refused as not run, because the zone is evacuated', function (this: PlanWorld) {
   assert.equal(this.borrowed, Reason.ZoneEvacuated);
 });
 
@@ -210,11 +210,11 @@
   for (const az of splitList(zones)) world.deployment.store.put(EVACUATION_PREFIX + az, {});
 }
 
-function takeBack(world: EvacuatedWorld, zones: string): void {
+function cancelEvacuation(world: EvacuatedWorld, zones: string): void {
   for (const az of splitList(zones)) world.deployment.store.remove(EVACUATION_PREFIX + az);
 }
 
-async function untilAllKnow(world: EvacuatedWorld, count: number): Promise<void> {
+async function waitUntilAllKnow(world: EvacuatedWorld, count: number): Promise<void> {
   const { deployment } = world;
   await deployment.until(() =>
     deployment.hosts.every(({ gateway }) => gateway.board.evacuations.size === count),
@@ -222,8 +222,8 @@
 }
 
 Given(
-  '{int} hosts that serve a group whose zones have to be left within {int} ms',
-  PATIENT,
+  '{int} hosts that serve a group with an evacuation time of {int} ms',
+  SLOW_STEP,
   async function (this: EvacuatedWorld, count: number, evacuationMs: number) {
     this.deployment = new FakeDeployment();
     this.deployment.evacuationMs = evacuationMs;
@@ -233,8 +233,8 @@
 );
 
 Given(
-  '{int} hosts that serve a group whose commits {int} replica confirms',
-  PATIENT,
+  '{int} hosts that serve a group whose commits {int} replica acknowledges',
+  SLOW_STEP,
   async function (this: EvacuatedWorld, count: number, syncReplicas: number) {
     this.deployment = new FakeDeployment();
     this.deployment.syncReplicas = syncReplicas;
@@ -245,7 +245,7 @@
 
 Given(
   '{int} hosts that start while the zone {word} is evacuated',
-  PATIENT,
+  SLOW_STEP,
   async function (this: EvacuatedWorld, count: number, az: string) {
     this.deployment = new FakeDeployment();
     evacuate(this, az);
@@ -255,9 +255,9 @@
 );
 
 When(
-  'the zones {string} are evacuated, and hosts write all the time',
+  'the zones {string} are evacuated while hosts keep writing',
   async function (this: EvacuatedWorld, zones: string) {
-    await untilCurrent(this);
+    await waitUntilCurrent(this);
     evacuate(this, zones);
     this.writing = this.deployment.hosts.map((each) => writeUntilChanged(this, each));
   },
@@ -267,15 +267,15 @@
   'the zones {string} are evacuated, and all hosts know of it',
   async function (this: EvacuatedWorld, zones: string) {
     evacuate(this, zones);
-    await untilAllKnow(this, splitList(zones).length);
+    await waitUntilAllKnow(this, splitList(zones).length);
   },
 );
 
 When(
-  'no replica receives any more, and the zones {string} are evacuated',
+  'the replicas stop receiving, and the zones {string} are evacuated',
   async function (this: EvacuatedWorld, zones: string) {
     const { group } = this.deployment;
-    await untilCurrent(this);
+    await waitUntilCurrent(this);
     for (const upstream of group.upstreams.values()) upstream.deaf = !upstream.isPrimary;
     for (let count = 0; count < 20; count += 1) await this.deployment.run(host(this, 0), 'WRITE x');
     evacuate(this, zones);
@@ -283,16 +283,19 @@
 );
 
 When('the zones {string} are no longer evacuated', function (this: EvacuatedWorld, zones: string) {
-  takeBack(this, zones);
+  cancelEvacuation(this, zones);
 });
 
-When('the store goes away once all hosts know of it', async function (this: EvacuatedWorld) {
-  await untilAllKnow(this, 1);
-  this.deployment.store.away = true;
-});
+When(
+  'the store becomes unavailable once all hosts know of it',
+  async function (this: EvacuatedWorld) {
+    await waitUntilAllKnow(this, 1);
+    this.deployment.store.away = true;
+  },
+);
 
 When(
-  'the store is back and the replicas have received everything',
+  'the store is available again and the replicas have received everything',
   function (this: EvacuatedWorld) {
     const { group, store } = this.deployment;
     const offset = group.upstreams.get(FORMER)?.offset ?? 0;
@@ -304,7 +307,7 @@
   },
 );
 
-/** Calls `act` once a change of the primary has been claimed. */
+/** Calls `act` once a promotion has been claimed. */
 function onClaim(world: EvacuatedWorld, act: () => void): void {
   const { board } = host(world, 0).gateway;
   const stop = board.onChange(BoardSection.Records, () => {
@@ -315,9 +318,9 @@
 }
 
 When(
-  'the zones {string} are evacuated, and {string} as soon as the change is claimed',
+  'the zones {string} are evacuated, and {string} as soon as the promotion is claimed',
   async function (this: EvacuatedWorld, zones: string, later: string) {
-    await untilCurrent(this);
+    await waitUntilCurrent(this);
     onClaim(this, () => {
       evacuate(this, later);
     });
@@ -326,9 +329,9 @@
 );
 
 When(
-  'the zones {string} are evacuated, and {string} as soon as the change is called for',
+  'the zones {string} are evacuated, and {string} as soon as the promotion is called for',
   async function (this: EvacuatedWorld, zones: string, later: string) {
-    await untilCurrent(this);
+    await waitUntilCurrent(this);
     this.deployment.group.onPromotion = () => {
       evacuate(this, later);
       this.deployment.group.onPromotion = () => undefined;
@@ -338,26 +341,26 @@
 );
 
 When(
-  'the zones {string} are evacuated, and no longer as soon as the change is claimed',
+  'the zones {string} are evacuated, and no longer as soon as the promotion is claimed',
   async function (this: EvacuatedWorld, zones: string) {
-    await untilCurrent(this);
+    await waitUntilCurrent(this);
     onClaim(this, () => {
-      takeBack(this, zones);
+      cancelEvacuation(this, zones);
     });
     evacuate(this, zones);
   },
 );
 
 async function writeUntilDone({ deployment }: ActionWorld, each: FakeHost): Promise<void> {
-  while ((await deployment.run(each, 'WRITE x')).kind !== 'completed') await pause(STEP_MS);
+  while ((await deployment.run(each, 'WRITE x')).kind !== 'completed') await pause(RETRY_MS);
 }
 
-When('each host writes until it succeeds', PATIENT, async function (this: EvacuatedWorld) {
+When('each host writes until it succeeds', SLOW_STEP, async function (this: EvacuatedWorld) {
   await Promise.all(this.deployment.hosts.map((each) => writeUntilDone(this, each)));
 });
 
-Then('every host writes again', PATIENT, async function (this: EvacuatedWorld) {
-  await untilAllKnow(this, 0);
+Then('every host writes again', SLOW_STEP, async function (this: EvacuatedWorld) {
+  await waitUntilAllKnow(this, 0);
   await Promise.all(this.deployment.hosts.map((each) => writeUntilDone(this, each)));
 });
 
@@ -388,19 +391,19 @@
       assert.ok(retryAfterMsOf(outcome.refusal) > 0);
       return;
     }
-    await pause(STEP_MS);
+    await pause(RETRY_MS);
   }
 }
 
 Then(
-  'each host is refused as not run, with when to come back, and nothing runs in {string} once the time is over',
-  PATIENT,
+  'each host is refused as not run, with a retry time, and nothing runs in {string} after the evacuation time',
+  SLOW_STEP,
   async function (this: EvacuatedWorld, zones: string) {
     const { hosts, group, evacuationMs } = this.deployment;
     const overAt = this.storedAt + evacuationMs;
     while (performance.now() < overAt) {
       await Promise.all(hosts.map((each) => writeUntilRefused(this, each, Reason.ZoneEvacuated)));
-      await pause(STEP_MS);
+      await pause(RETRY_MS);
     }
     await Promise.all(hosts.map((each) => this.deployment.run(each, 'WRITE x')));
     await Promise.all(hosts.map((each) => this.deployment.run(each, 'READ x')));
@@ -413,15 +416,19 @@
   },
 );
 
-Then('each host is refused for the evacuation', PATIENT, async function (this: EvacuatedWorld) {
-  for (const each of this.deployment.hosts) {
-    for (const text of ['WRITE x', 'READ x']) {
-      const outcome = await this.deployment.run(each, text);
-      assert.equal(outcome.kind, 'refused');
-      assert.equal(outcome.refusal.reason, Reason.ZoneEvacuated);
+Then(
+  'each host is refused because of the evacuation',
+  SLOW_STEP,
+  async function (this: EvacuatedWorld) {
+    for (const each of this.deployment.hosts) {
+      for (const text of ['WRITE x', 'READ x']) {
+        const outcome = await this.deployment.run(each, text);
+        assert.equal(outcome.kind, 'refused');
+        assert.equal(outcome.refusal.reason, Reason.ZoneEvacuated);
+      }
     }
-  }
-});
+  },
+);
 
 Then(
   "each host's gauge shows {int} evacuated zones",
@@ -437,8 +444,8 @@
 );
 
 Then(
-  'the primary is u2 at last, and every host writes there',
-  PATIENT,
+  'the primary is finally u2, and every host writes there',
+  SLOW_STEP,
   async function (this: EvacuatedWorld) {
     const { deployment } = this;
     const last = upstreamId('u2');
@@ -453,16 +460,20 @@
   },
 );
 
-Then('the upstream of the zone is read from again', PATIENT, async function (this: EvacuatedWorld) {
-  const { deployment } = this;
-  const { ran } = deployment.group;
-  const before = ran.length;
-  const isRead = (): boolean => ran.slice(before).some(({ upstream }) => upstream === FORMER);
-  while (!isRead()) {
-    await deployment.run(host(this, 0), 'WRITE x');
-    await deployment.run(host(this, 0), 'READ x');
-  }
-});
+Then(
+  'the upstream of the zone is read from again',
+  SLOW_STEP,
+  async function (this: EvacuatedWorld) {
+    const { deployment } = this;
+    const { ran } = deployment.group;
+    const before = ran.length;
+    const isRead = (): boolean => ran.slice(before).some(({ upstream }) => upstream === FORMER);
+    while (!isRead()) {
+      await deployment.run(host(this, 0), 'WRITE x');
+      await deployment.run(host(this, 0), 'READ x');
+    }
+  },
+);
 
 function stepOf(text: string): Parameters<OpenTransaction['run']>[0] {
   const work = { kind: 'text', access: Access.Write, text } as const;
@@ -490,20 +501,23 @@
 });
 
 When(
-  'the transaction runs statements until the time is over',
-  PATIENT,
+  'the transaction runs statements until the evacuation time is over',
+  SLOW_STEP,
   async function (this: EvacuatedWorld) {
     while (this.last.kind === 'completed') {
       this.last = await this.transaction.run(stepOf('WRITE t'));
-      await pause(STEP_MS);
+      await pause(RETRY_MS);
     }
   },
 );
 
-When('the transaction rests until the time is over', async function (this: EvacuatedWorld) {
-  const { evacuationMs } = this.deployment;
-  await pause(this.storedAt + evacuationMs - performance.now());
-});
+When(
+  'the transaction rests until the evacuation time is over',
+  async function (this: EvacuatedWorld) {
+    const { evacuationMs } = this.deployment;
+    await pause(this.storedAt + evacuationMs - performance.now());
+  },
+);
 
 function assertRolledBack(outcome: Outcome): void {
   assert.equal(outcome.kind, 'refused');
@@ -514,10 +528,10 @@
   );
 }
 
-Then('its statement is told that it was rolled back', function (this: EvacuatedWorld) {
+Then('its statement is refused because it was rolled back', function (this: EvacuatedWorld) {
   assertRolledBack(this.last);
 });
 
-Then('its commit is told that it was rolled back', async function (this: EvacuatedWorld) {
+Then('its commit is refused because it was rolled back', async function (this: EvacuatedWorld) {
   assertRolledBack(await this.transaction.commit('c', performance.now()));
 });
--- a/packages/gateway/tests/isolation-guard.feature
+++ b/packages/gateway/tests/isolation-guard.feature
@@ -1,9 +1,9 @@
-Feature: When a host sends its callers away
+Feature: An isolated host closes its sessions
 
-  Scenario Outline: Callers are sent away once the balancer has noticed, and again while the cut lasts
-    Given a host whose latest proof was sent at <proved> ms, and a balancer that notices within 2200 ms
-    When the guard looks each 200 ms until <until> ms
-    Then the host is <state>, and callers were sent away <times> times
+  Scenario Outline: Sessions are closed once the load balancer has noticed, and again while the isolation lasts
+    Given a host whose latest proof was sent at <proved> ms, and a load balancer that notices within 2200 ms
+    When the guard checks every 200 ms until <until> ms
+    Then the host is <state>, and sessions were closed <times> times
 
     Examples:
       | proved | until | state    | times | why                                             |
@@ -14,9 +14,9 @@
       | 0      | 5200  | isolated | 1     | who is left gets time to come to rest           |
       | 0      | 5400  | isolated | 2     | some came in between                            |
 
-  Scenario: A host that is back keeps its callers
-    Given a host whose latest proof was sent at 0 ms, and a balancer that notices within 2200 ms
-    When the guard looks each 200 ms until 2000 ms
+  Scenario: A host that is no longer isolated keeps its sessions
+    Given a host whose latest proof was sent at 0 ms, and a load balancer that notices within 2200 ms
+    When the guard checks every 200 ms until 2000 ms
     And a proof sent at 2000 ms arrives
-    And the guard looks each 200 ms until 4000 ms
-    Then the host is isolated, and callers were sent away 0 times
+    And the guard checks every 200 ms until 4000 ms
+    Then the host is isolated, and sessions were closed 0 times
--- a/packages/gateway/tests/isolation-guard.steps.ts
+++ b/packages/gateway/tests/isolation-guard.steps.ts
@@ -7,32 +7,32 @@
 interface GuardWorld {
   board: GatewayBoard;
   guard: IsolationGuard;
-  sentAway: number;
+  closeCount: number;
   now: number;
 }
 
 const STEP_MS = 200;
 
 Given(
-  'a host whose latest proof was sent at {int} ms, and a balancer that notices within {int} ms',
+  'a host whose latest proof was sent at {int} ms, and a load balancer that notices within {int} ms',
   function (this: GuardWorld, provedAt: number, noticedAfterMs: number) {
     this.board = new GatewayBoard(hostId('h1'), azId('z1'));
     this.board.recordProof(provedAt);
-    this.sentAway = 0;
+    this.closeCount = 0;
     this.now = 0;
     this.guard = new IsolationGuard({
       board: this.board,
       authority: DEFAULT_AUTHORITY,
       balancerDelayMs: noticedAfterMs,
       closeSessionsWhenIdle: () => {
-        this.sentAway += 1;
+        this.closeCount += 1;
       },
       log: createLogger('test'),
     });
   },
 );
 
-When('the guard looks each 200 ms until {int} ms', function (this: GuardWorld, until: number) {
+When('the guard checks every 200 ms until {int} ms', function (this: GuardWorld, until: number) {
   for (; this.now < until; this.now += STEP_MS) this.guard.tick(this.now);
   this.guard.tick(until);
 });
@@ -42,9 +42,9 @@
 });
 
 Then(
-  /^the host is (there|isolated), and callers were sent away (\d+) times$/,
+  /^the host is (there|isolated), and sessions were closed (\d+) times$/,
   function (this: GuardWorld, state: string, times: string) {
     assert.equal(this.guard.isIsolated(this.now), state === 'isolated');
-    assert.equal(this.sentAway, Number(times));
+    assert.equal(this.closeCount, Number(times));
   },
 );
--- a/packages/gateway/tests/session.feature
+++ b/packages/gateway/tests/session.feature
@@ -1,6 +1,6 @@
 Feature: One caller's session
 
-  A session's statements are given in turn; "!" before one means that its upstream refuses it.
+  The statements of a session are listed in order; "!" before one means that its upstream refuses it.
 
   Scenario Outline: States of a session
     When a caller sends "<statements>" in turn
@@ -31,32 +31,32 @@
   Scenario: A removed route is refused from the next transaction on, not inside the open one
     Given a session with an open transaction
     When its route is removed
-    Then the transaction goes on and commits
+    Then the transaction continues and commits
     And the next statement is refused as "unknown-group"
 
-  Scenario: A caller that leaves has its transaction rolled back
+  Scenario: The transaction of a caller that disconnects is rolled back
     Given a session with an open transaction
-    When the caller leaves
+    When the caller disconnects
     Then the transaction was rolled back
 
-  Scenario: A caller that leaves while its transaction is being opened leaves nothing open
+  Scenario: A caller that disconnects while its transaction is being opened leaves no open transaction
     Given a session whose transaction is being opened
-    When the caller leaves and the transaction opens
+    When the caller disconnects and the transaction opens
     Then the transaction was rolled back
 
   Scenario: An idle transaction is rolled back after the configured time
     Given a session with an open transaction and an idle time of 20 ms
-    Then it is rolled back by itself and the session is "failed"
+    Then it is rolled back automatically and the session is "failed"
 
-  Scenario: A session's own commit is the floor of its next read
+  Scenario: The next read of a session must show its own commit
     When a caller sends "WRITE x 1,READ x" in turn
-    Then the read was asked to see the commit
+    Then the read was required to show the commit
 
-  Scenario: Values and prepared shapes travel with the work
+  Scenario: Session values and prepared statements are passed along with the work
     When a caller sends "SET zone a,PREPARE s WRITE q,EXECUTE s 1 data" in turn
     Then the work was prepared as "write q" with "1 data" under "zone=a"
 
-  Scenario Outline: Whose work it is follows from the key
+  Scenario Outline: The API key determines the workspace
     Given a session with key "<key>", workspaces "<workspaces>" and a "<route>" route
     Then it would be refused as "<reason>", and a read runs for workspace "<runs for>"
 
@@ -71,7 +71,7 @@
       | k3  | k1=a           | public  |             |          |
       | k1  | k1=a           | public  |             |          |
 
-  Scenario Outline: Keys count when an operation begins
+  Scenario Outline: Keys are checked when an operation begins
     Given a session with key "k1", workspaces "k1=a k2=a" and a "private" route
     When its caller sends "<before>", the workspaces become "<then>", and it sends "<after>"
     Then the last answers are "<answers>"
@@ -85,12 +85,12 @@
       | READ x         | k1=b      | READ x                      | rows                              | moved to another workspace       |
       | READ x         | k1=a k3=c | READ x                      | rows                              | other keys come and go           |
 
-  Scenario Outline: Keys on a host that can't learn of those taken away
-    Given keys end <life> ms after a configuration was the newest, and one that was so <age> ms ago
+  Scenario Outline: Keys on a host that cannot learn of removed keys
+    Given keys that expire <life> ms after the confirmation of their configuration, which was <age> ms ago
     And a session with key "<key>", workspaces "<workspaces>" and a "<route>" route
     Then it would be refused as "<reason>", and a read runs for workspace "<runs for>"
 
-    # 0 ms: they count until their removal is known
+    # 0 ms: keys are valid until their removal is known
     Examples:
       | life  | age    | key | workspaces | route   | reason           | runs for |
       | 60000 | 0      | k1  | k1=a       | private |                  | a        |
@@ -100,10 +100,10 @@
       | 60000 | 120000 | k1  | none       | private |                  |          |
       | 0     | 120000 | k1  | k1=a       | private |                  | a        |
 
-  Scenario Outline: Operations are admitted once, and given back where nothing ran
+  Scenario Outline: Operations are admitted once, and refunded if nothing ran
     Given a session with key "k1", workspaces "k1=a" and a "private" route
     When its caller sends "<statements>" while the executor ends them as "<end>"
-    Then <admitted> operations were admitted and <given back> given back
+    Then <admitted> operations were admitted and <given back> refunded
 
     Examples:
       | statements                   | end                   | admitted | given back | why                                    |
--- a/packages/gateway/tests/session.steps.ts
+++ b/packages/gateway/tests/session.steps.ts
@@ -42,14 +42,14 @@
 const KEY = 'k1';
 const KEYS: KeyRules = { unconfirmedTtlMs: undefined };
 
-/** Executor that answers everything with one row, and refuses works that begin with "!". */
+/** Executor that answers everything with one row, unless `refuseNext` or `refusalNext` is set. */
 class FakeExecutor implements Executor, OpenTransaction {
   readonly jobs: StatementJob[] = [];
   rolledBack = 0;
   refuseNext = false;
-  /** Reason for which the next statement is refused here, if any. */
+  /** Reason for which statements are refused, if any. */
   refusalNext: RefusalReason | undefined;
-  /** Resolves when a begin may go on. */
+  /** Resolves when a begin may continue. */
   gate: Promise<void> = Promise.resolve();
 
   run(job: StatementJob | { readonly work: Work }): Promise<Outcome> {
@@ -85,10 +85,10 @@
   return { kind: 'refused', refusal: refuse(reason) };
 }
 
-/** Limits that admit everything and count. */
+/** Limits that admit everything and count the calls. */
 class CountingLimits implements OperationLimits {
   admitted = 0;
-  givenBack = 0;
+  refunded = 0;
 
   admit(): Promise<undefined> {
     this.admitted += 1;
@@ -96,7 +96,7 @@
   }
 
   refund(): void {
-    this.givenBack += 1;
+    this.refunded += 1;
   }
 }
 
@@ -107,7 +107,7 @@
   board: GatewayBoard;
   executor: FakeExecutor;
   session: Session;
-  /** Workspaces by key; undefined where the configuration asks for no keys. */
+  /** Workspaces by key; undefined if the configuration requires no keys. */
   keys: WorkspaceKeys;
   keyRules: KeyRules | undefined;
   confirmedAt: number | undefined;
@@ -147,7 +147,7 @@
   return outcome.kind === 'faulted' ? outcome.fault : outcome.refusal.reason;
 }
 
-/** Keys from a list such as `k1=a k2=a`; `none` where none are asked for. */
+/** Parses keys from a list such as `k1=a k2=a`; `none` if no keys are required. */
 function parseKeys(text: string): WorkspaceKeys {
   if (text === 'none') return undefined;
   const pairs = text.split(' ').filter((pair) => pair !== '');
@@ -246,7 +246,7 @@
   this.pending = send(this, ['WRITE x 1']);
 });
 
-When('the caller leaves and the transaction opens', async function (this: SessionWorld) {
+When('the caller disconnects and the transaction opens', async function (this: SessionWorld) {
   this.session.close();
   this.openGate();
   await this.pending;
@@ -256,7 +256,7 @@
   putRoutes(this, 2, []);
 });
 
-Then('the transaction goes on and commits', async function (this: SessionWorld) {
+Then('the transaction continues and commits', async function (this: SessionWorld) {
   await send(this, ['WRITE y 1', 'COMMIT']);
   assert.deepEqual(this.answers, ['rows', 'rows']);
 });
@@ -269,7 +269,7 @@
   },
 );
 
-When('the caller leaves', function (this: SessionWorld) {
+When('the caller disconnects', function (this: SessionWorld) {
   this.session.close();
 });
 
@@ -278,14 +278,14 @@
 });
 
 Then(
-  'it is rolled back by itself and the session is {string}',
+  'it is rolled back automatically and the session is {string}',
   async function (this: SessionWorld, state: string) {
     while (this.executor.rolledBack === 0) await pause(1);
     assert.equal(this.session.state, state);
   },
 );
 
-Then('the read was asked to see the commit', function (this: SessionWorld) {
+Then('the read was required to show the commit', function (this: SessionWorld) {
   assert.deepEqual(this.executor.jobs[1]?.own, COMMITTED);
 });
 
@@ -350,7 +350,7 @@
 });
 
 Given(
-  'keys end {int} ms after a configuration was the newest, and one that was so {int} ms ago',
+  'keys that expire {int} ms after the confirmation of their configuration, which was {int} ms ago',
   function (this: SessionWorld, lifeMs: number, agoMs: number) {
     this.keyRules = { unconfirmedTtlMs: lifeMs === 0 ? undefined : lifeMs };
     this.confirmedAt = performance.now() - agoMs;
@@ -370,9 +370,9 @@
 );
 
 Then(
-  '{int} operations were admitted and {int} given back',
+  '{int} operations were admitted and {int} refunded',
   function (this: SessionWorld, admitted: number, givenBack: number) {
-    assert.deepEqual([this.limits.admitted, this.limits.givenBack], [admitted, givenBack]);
+    assert.deepEqual([this.limits.admitted, this.limits.refunded], [admitted, givenBack]);
     this.session.close();
   },
 );
--- a/packages/gateway/tests/work-near-upstreams.steps.ts
+++ b/packages/gateway/tests/work-near-upstreams.steps.ts
@@ -30,10 +30,10 @@
   topology: Topology;
   zones: readonly AzId[];
   upstreams: readonly UpstreamEntry[];
-  /** Homes that were asked, in order. */
-  asked: string[];
+  /** Homes that were sent a request, in order. */
+  requested: string[];
   /** Connections that this host tried to open. */
-  dialled: number;
+  connectCount: number;
   home: GroupHome;
   marks: WatermarkExchange;
   now: number;
@@ -71,18 +71,18 @@
       slots: 4,
       draining: false,
     }));
-    this.asked = [];
-    this.dialled = 0;
+    this.requested = [];
+    this.connectCount = 0;
     this.now = performance.now();
   },
 );
 
-/** Homes of one host, which knows the whole deployment. */
+/** Context of the homes of one host, which knows the whole deployment. */
 function contextOf(world: NearWorld, host: HostId, az: AzId): HomeContext {
   const board = new GatewayBoard(host, az, world.topology);
   const context = homeContext(board, {
     connect: () => {
-      world.dialled += 1;
+      world.connectCount += 1;
       return Promise.resolve(err(FAILED));
     },
     readStatus: () => undefined,
@@ -113,7 +113,7 @@
   return { host, az, address: '127.0.0.1', port: 1, incarnation: 1, linkMbps: 20 };
 }
 
-/** A host of the zone that is a home of the group, or one that is none. */
+/** A host of the zone that is a home of the group, or one that is not. */
 function hostOf(world: NearWorld, zone: string, isHome: boolean): HomeContext {
   const az = azId(zone);
   for (let index = 0; index < HOSTS_A_ZONE; index += 1) {
@@ -140,13 +140,13 @@
   return { route, id: 'r', work, ...session, beganAt: now, arrivedAt: now };
 }
 
-/** Calls that note who is asked; each fails unless it asks for a mark, which is told. */
+/** Peer calls that record the hosts contacted; all fail but requests for a watermark, which get the prepared reply. */
 function callsOf(world: NearWorld): PeerCalls {
   const ask = (
     peer: PeerAddress,
     build: (id: number) => Frame,
   ): Promise<Result<Frame, GladespoolError>> => {
-    world.asked.push(peer.host);
+    world.requested.push(peer.host);
     const isMark = build(1).kind === FrameKind.WatermarkRequest;
     return Promise.resolve(isMark && world.told ? ok(world.told) : err(FAILED));
   };
@@ -168,7 +168,7 @@
 }
 
 When(
-  /^a host of zone "(\w+)" that is no home runs a (read|write)$/,
+  /^a host of zone "(\w+)" that is not a home runs a (read|write)$/,
   async function (this: NearWorld, zone: string, work: string) {
     const access = work === 'read' ? Access.Read : Access.Write;
     await runRouted(this, hostOf(this, zone, false), access, Number.NEGATIVE_INFINITY);
@@ -176,9 +176,9 @@
 );
 
 Then(
-  'the first host that it asks is a home of zone {string}',
+  'the first host that it forwards to is a home of zone {string}',
   function (this: NearWorld, zone: string) {
-    const [first = ''] = this.asked;
+    const [first = ''] = this.requested;
     assert.equal(first.split('-')[0], zone);
     const context = hostOf(this, zone, true);
     assert.ok(context.directory.plan(GROUP).homes.get(azId(zone))?.includes(hostId(first)));
@@ -186,7 +186,7 @@
 );
 
 When(
-  'a host of zone {string} that is no home started {int} ms ago and all homes refuse its work',
+  'a host of zone {string} that is not a home started {int} ms ago and all homes refuse its work',
   async function (this: NearWorld, zone: string, ago: number) {
     await runRouted(this, hostOf(this, zone, false), Access.Write, this.now - ago);
   },
@@ -195,13 +195,13 @@
 Then(
   /^it opens (no connection|a connection) to upstreams itself$/,
   function (this: NearWorld, connections: string) {
-    assert.ok(this.asked.length > 0);
-    assert.equal(this.dialled > 0, connections === 'a connection');
+    assert.ok(this.requested.length > 0);
+    assert.equal(this.connectCount > 0, connections === 'a connection');
   },
 );
 
 Given(
-  /^a home of zone "(\w+)" whose newest mark is (\w+) ms old, for reads that may be 1500 ms old$/,
+  /^a home of zone "(\w+)" whose newest watermark is (\w+) ms old, for reads that may be 1500 ms old$/,
   function (this: NearWorld, zone: string, age: string) {
     const context = hostOf(this, zone, true);
     const { board, directory } = context;
@@ -216,35 +216,35 @@
 );
 
 When(
-  /^it runs a read, and the home that it asks tells a mark of epoch (\w+) that is (\d+) ms old$/,
+  /^it runs a read, and the home that it asks reports a watermark of epoch (\w+) that is (\d+) ms old$/,
   async function (this: NearWorld, epoch: string, ageMs: string) {
     const mark = { position: { term: 1, offset: 2 }, ageMs: Number(ageMs) };
     const reply = { kind: FrameKind.WatermarkReply, id: 1 } as const;
     this.told = epoch === 'none' ? reply : { ...reply, mark };
     this.marks.refreshIfStale(jobOf(Access.Read), this.now);
-    // A second read at the same time asks no second time.
+    // A second read at the same time sends no further request.
     this.marks.refreshIfStale(jobOf(Access.Read), this.now);
     await new Promise((resolve) => setImmediate(resolve));
   },
 );
 
 Then(
-  /^it asked (\d), and its newest mark is (kept|told)$/,
+  /^it sent (\d) requests, and its newest watermark is (kept|told)$/,
   function (this: NearWorld, asked: string, newest: string) {
-    assert.equal(this.asked.length, Number(asked));
+    assert.equal(this.requested.length, Number(asked));
     assert.equal(this.home.marks.newest?.position.offset, newest === 'told' ? 2 : 1);
     if (newest === 'told') assert.ok(this.home.marks.newest.sentAt <= performance.now() - 10);
   },
 );
 
 When(
-  'its proof has run out, and it is told a mark that is {int} ms old',
+  'its proof has expired, and it receives a watermark that is {int} ms old',
   function (this: NearWorld, ageMs: number) {
     const later = this.now + 10_000;
     this.home.addWatermark(RECORD, later - ageMs, { term: 1, offset: 2 }, later);
   },
 );
 
-Then('it has no mark', function (this: NearWorld) {
+Then('it has no watermark', function (this: NearWorld) {
   assert.equal(this.home.marks.newest, undefined);
 });
--- a/packages/gateway/tests/workspace-limits-in-action.feature
+++ b/packages/gateway/tests/workspace-limits-in-action.feature
@@ -1,17 +1,17 @@
-Feature: Limits of workspaces on hosts in action
+Feature: Rate limits of workspaces, enforced over all hosts
 
-  Scenario: A flood on all hosts at once runs no more than allowed
-    Given 3 hosts and a workspace that may run 20 operations a second and 20 at once
-    When its callers ask for 60 operations on each host at once
+  Scenario: A burst on all hosts at once runs no more operations than the limit allows
+    Given 3 hosts and a workspace that may run 20 operations a second and bursts of 20
+    When its callers start 60 operations on each host at once
     Then no more ran than its limit allows, each on a connection of the workspace
-    And the others were refused as "over-limit" and told when to come back
+    And the others were refused as "over-limit" with a retry time
 
-  Scenario Outline: Questions to the keeper of an allowance
-    Given a keeper elsewhere that answers "<answers>"
+  Scenario Outline: Requests to the owner of an allowance
+    Given an owner on another host that replies "<answers>"
     When this happens on a host: "<events>"
-    Then the operations end as "<ends>" after questions for "<asked>"
+    Then the operations end as "<ends>" after requests for "<asked>"
 
-    # answer = granted/wait in ms; lost: none comes. ask:N asks N times at once
+    # answer = granted/retry time in ms; lost: no reply arrives. ask:N starts N operations at once
     Examples:
       | answers       | events                    | ends                          | asked | why                                         |
       | 1/0           | ask:1                     | in                            | 1     |                                             |
@@ -23,12 +23,12 @@
       | lost,lost,1/0 | ask:3                     | in,over-limit,over-limit      | 1,1   | where both are lost, both are left for a moment |
       | lost,none,1/0 | ask:3                     | in,over-limit,over-limit      | 1,1   | the stand-in reaches the keeper             |
 
-  Scenario Outline: Who grants operations of a workspace
-    Given the host "<host>" where "k" keeps an allowance of 10 a second and "s" stands in
+  Scenario Outline: Hosts that grant operations of a workspace
+    Given the host "<host>" where "k" owns an allowance of 10 operations a second and "s" is its stand-in
     When it is asked for operations at "<asked>" while "<known>"
     Then it grants "<granted>"
 
-    # asked = ms after its first proof:operations; no tolerance but 100 operations; the keeper began at 0
+    # asked = ms after its first proof:operations; no tolerance but 100 operations; the owner started at 0
     Examples:
       | host | asked                     | known                  | granted | why                                             |
       | k    | 500:100                   | all is well            | 25      | the begin, 15, and what came since, 20 a second |
--- a/packages/gateway/tests/workspace-limits-in-action.steps.ts
+++ b/packages/gateway/tests/workspace-limits-in-action.steps.ts
@@ -18,26 +18,26 @@
 import { FakeDeployment, WORKSPACE } from './fakes/fake-deployment.js';
 
 const MS_PER_SECOND = 1000;
-const KEEPER = hostId('keeper');
+const OWNER = hostId('keeper');
 const STAND_IN = hostId('stand-in');
 const HOST = hostId('h1');
 const AZ = azId('z1');
 const LIMITED: Workspace = { id: workspaceId('w'), limit: { ratePerS: 10, burst: 10 } };
-const NOT_KEPT: AllowanceReply = { kept: false, granted: 0, retryAfterMs: 0 };
+const NOT_HELD: AllowanceReply = { kept: false, granted: 0, retryAfterMs: 0 };
 
 interface LimitsWorld {
   deployment: FakeDeployment | undefined;
   startedAt: number;
   outcomes: readonly Outcome[];
   limits: FleetLimits;
-  asked: number[];
+  requested: number[];
   ends: (Refusal | undefined)[];
-  keeperBoard: GatewayBoard;
+  ownerBoard: GatewayBoard;
   granted: string;
 }
 
 Given(
-  '{int} hosts and a workspace that may run {int} operations a second and {int} at once',
+  '{int} hosts and a workspace that may run {int} operations a second and bursts of {int}',
   async function (this: LimitsWorld, hosts: number, ratePerS: number, burst: number) {
     this.startedAt = performance.now();
     this.deployment = new FakeDeployment();
@@ -51,7 +51,7 @@
 });
 
 When(
-  'its callers ask for {int} operations on each host at once',
+  'its callers start {int} operations on each host at once',
   async function (this: LimitsWorld, count: number) {
     const { deployment } = this;
     assert.ok(deployment);
@@ -77,7 +77,7 @@
 );
 
 Then(
-  'the others were refused as {string} and told when to come back',
+  'the others were refused as {string} with a retry time',
   function (this: LimitsWorld, reason: string) {
     const refusals = this.outcomes.flatMap((outcome) =>
       outcome.kind === 'refused' ? [outcome.refusal] : [],
@@ -92,40 +92,43 @@
 
 function parseAnswer(text: string): AllowanceReply | undefined {
   if (text === 'lost') return undefined;
-  if (text === 'none') return NOT_KEPT;
+  if (text === 'none') return NOT_HELD;
   const [granted = 0, retryAfterMs = 0] = text.split('/').map(Number);
   return { kept: true, granted, retryAfterMs };
 }
 
-Given('a keeper elsewhere that answers {string}', function (this: LimitsWorld, answers: string) {
-  const left = answers.split(',').map(parseAnswer);
-  const board = new GatewayBoard(HOST, AZ);
-  const entry = { az: AZ, address: '127.0.0.1', port: 1, incarnation: 1, linkMbps: 1 };
-  board.putHosts(new Map([KEEPER, STAND_IN].map((host) => [host, { ...entry, host }])));
-  this.asked = [];
-  this.ends = [];
-  this.limits = new FleetLimits({
-    board,
-    directory: { ownersOf: () => [KEEPER, STAND_IN] },
-    keeper: { ask: () => NOT_KEPT },
-    calls: {
-      isReachable: () => true,
-      request: (_peer, build) => {
-        const frame = build(1);
-        assert.equal(frame.kind, FrameKind.AllowanceRequest);
-        this.asked.push(frame.wanted);
-        const answer = left.shift();
-        const place = { step: Step.PeerExchange, peer: KEEPER };
-        if (answer === undefined) return Promise.resolve(err(gladespoolError(place, 'silent')));
-        return Promise.resolve(ok({ kind: FrameKind.AllowanceReply, id: 1, ...answer }));
+Given(
+  'an owner on another host that replies {string}',
+  function (this: LimitsWorld, answers: string) {
+    const replies = answers.split(',').map(parseAnswer);
+    const board = new GatewayBoard(HOST, AZ);
+    const entry = { az: AZ, address: '127.0.0.1', port: 1, incarnation: 1, linkMbps: 1 };
+    board.putHosts(new Map([OWNER, STAND_IN].map((host) => [host, { ...entry, host }])));
+    this.requested = [];
+    this.ends = [];
+    this.limits = new FleetLimits({
+      board,
+      directory: { ownersOf: () => [OWNER, STAND_IN] },
+      keeper: { grant: () => NOT_HELD },
+      calls: {
+        isReachable: () => true,
+        request: (_peer, build) => {
+          const frame = build(1);
+          assert.equal(frame.kind, FrameKind.AllowanceRequest);
+          this.requested.push(frame.wanted);
+          const answer = replies.shift();
+          const place = { step: Step.PeerExchange, peer: OWNER };
+          if (answer === undefined) return Promise.resolve(err(gladespoolError(place, 'silent')));
+          return Promise.resolve(ok({ kind: FrameKind.AllowanceReply, id: 1, ...answer }));
+        },
       },
-    },
-    tolerance: { windowS: 5, overrun: 0, slack: 0 },
-    metrics: new HostMetrics(),
-  });
-});
+      tolerance: { windowS: 5, overrun: 0, slack: 0 },
+      metrics: new HostMetrics(),
+    });
+  },
+);
 
-async function play(world: LimitsWorld, event: string): Promise<void> {
+async function runEvent(world: LimitsWorld, event: string): Promise<void> {
   const [what, count = '1'] = event.split(':');
   const now = performance.now();
   if (what === 'give-back') {
@@ -137,23 +140,23 @@
 }
 
 When('this happens on a host: {string}', async function (this: LimitsWorld, events: string) {
-  for (const event of events.split(',')) await play(this, event);
+  for (const event of events.split(',')) await runEvent(this, event);
 });
 
 Then(
-  'the operations end as {string} after questions for {string}',
+  'the operations end as {string} after requests for {string}',
   function (this: LimitsWorld, ends: string, asked: string) {
     assert.equal(this.ends.map((end) => end?.reason ?? 'in').join(','), ends);
-    assert.equal(this.asked.join(','), asked);
+    assert.equal(this.requested.join(','), asked);
   },
 );
 
 Given(
-  'the host {string} where "k" keeps an allowance of {int} a second and "s" stands in',
+  'the host {string} where "k" owns an allowance of {int} operations a second and "s" is its stand-in',
   function (this: LimitsWorld, host: string, ratePerS: number) {
-    this.keeperBoard = new GatewayBoard(hostId(host), AZ);
+    this.ownerBoard = new GatewayBoard(hostId(host), AZ);
     const workspace = { ...LIMITED, limit: { ratePerS, burst: 10 } };
-    this.keeperBoard.putCatalog({
+    this.ownerBoard.putCatalog({
       version: 1,
       routes: new Map(),
       groups: new Map(),
@@ -164,7 +167,7 @@
   },
 );
 
-/** Times at which proofs come, by what is known; each second of them holds for one more. */
+/** Times at which proofs arrive, milliseconds, by the condition of the scenario; each proof is valid for one second. */
 const PROOFS: ReadonlyMap<string, readonly number[]> = new Map([
   ['no proof comes', [0]],
   ['proofs come again at 2000', [0, 2000]],
@@ -174,7 +177,7 @@
 When(
   'it is asked for operations at {string} while {string}',
   function (this: LimitsWorld, asked: string, known: string) {
-    const board = this.keeperBoard;
+    const board = this.ownerBoard;
     const usual = [hostId('k'), hostId('s')];
     let keepers = usual;
     const directory = { ownersOf: () => keepers, unchangedSince: 0 };
@@ -200,7 +203,7 @@
         keepers = usual;
         directory.unchangedSince = at;
       }
-      const answer = keeper.ask(LIMITED.id, wanted, at);
+      const answer = keeper.grant(LIMITED.id, wanted, at);
       return answer.kept ? String(answer.granted) : 'none';
     });
     this.granted = answers.join(',');
