--- a/packages/gateway/tests/bound-regions-in-action.steps.ts
+++ b/packages/gateway/tests/bound-regions-in-action.steps.ts
@@ -84,11 +84,11 @@
 }
 
 function failingCalls(contacted: Contacted): PeerCalls {
-  const ask = (peer: PeerAddress): Promise<Result<never, GladespoolError>> => {
+  const request = (peer: PeerAddress): Promise<Result<never, GladespoolError>> => {
     contacted.hosts.push(peer.host);
     return Promise.resolve(err(FAILED));
   };
-  return { isReachable: () => true, ask, tell: () => undefined } as unknown as PeerCalls;
+  return { isReachable: () => true, request, notify: () => undefined } as unknown as PeerCalls;
 }
 
 function topologyOf({ regions }: Scenario): Topology {
@@ -263,7 +263,7 @@
 });
 
 When('it is forwarded', async function (this: BoundWorld) {
-  const ask = (
+  const request = (
     _peer: PeerAddress,
     build: (id: number) => Parameters<typeof encodeFrame>[0],
   ): Promise<Result<never, GladespoolError>> => {
@@ -273,7 +273,7 @@
     return Promise.resolve(err(FAILED));
   };
   const peer = { host: 'p', address: '127.0.0.1', port: 1 };
-  const remote = new RemoteExecutor({ ask } as unknown as PeerCalls, peer);
+  const remote = new RemoteExecutor({ request } as unknown as PeerCalls, peer);
   const now = performance.now();
   const job = { ...jobOf(UNRESTRICTED, now), regions: this.regions };
   await remote.run({ ...job, work: { kind: 'text', access: Access.Read, text: 'x' } });
--- a/packages/gateway/tests/work-near-upstreams.steps.ts
+++ b/packages/gateway/tests/work-near-upstreams.steps.ts
@@ -142,7 +142,7 @@
 
 /** Peer calls that record the hosts contacted; all fail but requests for a watermark, which get the prepared reply. */
 function callsOf(world: NearWorld): PeerCalls {
-  const ask = (
+  const request = (
     peer: PeerAddress,
     build: (id: number) => Frame,
   ): Promise<Result<Frame, GladespoolError>> => {
@@ -150,7 +150,7 @@
     const isMark = build(1).kind === FrameKind.WatermarkRequest;
     return Promise.resolve(isMark && world.told ? ok(world.told) : err(FAILED));
   };
-  return { isReachable: () => true, ask, tell: () => undefined } as unknown as PeerCalls;
+  return { isReachable: () => true, request, notify: () => undefined } as unknown as PeerCalls;
 }
 
 async function runRouted(
