--- a/packages/gateway/src/forward/watermark-exchange.ts
+++ b/packages/gateway/src/forward/watermark-exchange.ts
@@ -26,7 +26,7 @@
 
 /**
  * Age of the newest watermark at which another one is fetched, as a share of the maximum staleness of a read. Reads
- * then find a watermark of up to two thirds of that staleness, which replicas with a smaller lag hold.
+ * then find a watermark that is two thirds of that staleness old, and replicas with a smaller lag hold its position.
  */
 const FETCH_SHARE = 0.3;
 /** Minimum interval between two requests, milliseconds: the primary may have answered nothing in the meantime. */
--- a/packages/gateway/src/home/read-flow.ts
+++ b/packages/gateway/src/home/read-flow.ts
@@ -24,8 +24,8 @@
 /** Maximum number of tries of one read: two on each of three upstreams. */
 const MAX_TRIES = 6;
 /**
- * Share of an operation's target latency after which a read no longer waits to retry upstreams that it has tried:
- * by then those that shed it have capacity again, and those that lagged have caught up.
+ * Share of an operation's target latency that a read may wait until upstreams that it has tried are worth a retry:
+ * those that shed it have capacity again, and those that lagged have caught up.
  */
 const MAX_PAUSE_SHARE = 0.6;
 /** Share of the remaining time that one try may take, so that time is left for another. */
