--- a/packages/gateway/tests/bound-regions-in-action.steps.ts
+++ b/packages/gateway/tests/bound-regions-in-action.steps.ts
@@ -249,10 +249,10 @@
 Then(
   'each outcome is {string}, and only {string} ran it',
   function (this: BoundWorld, expected: string, upstreams: string) {
-    const told = this.outcomes.map((outcome) =>
+    const reasons = this.outcomes.map((outcome) =>
       outcome.kind === 'refused' ? outcome.refusal.reason : outcome.kind,
     );
-    assert.deepEqual([...new Set(told)], [expected]);
+    assert.deepEqual([...new Set(reasons)], [expected]);
     const ran = new Set(this.deployment.group.ran.map(({ upstream }) => upstream));
     assert.equal([...ran].join(','), upstreams);
   },
--- a/packages/gateway/tests/evacuation.steps.ts
+++ b/packages/gateway/tests/evacuation.steps.ts
@@ -192,11 +192,11 @@
       this.board.putEvacuations(evacuationsAt(performance.now(), evacuated));
       return connect(...args);
     };
-    const slot = this.home.pool(FORMER);
-    assert.ok(slot);
+    const pool = this.home.pool(FORMER);
+    assert.ok(pool);
     const arrivedAt = performance.now();
     const job = { ...jobOf(Consistency.Primary, 3000), arrivedAt };
-    const borrowed = await borrow(this.home, slot, job, undefined);
+    const borrowed = await borrow(this.home, pool, job, undefined);
     this.borrowed = borrowed.isErr() ? borrowed.error : 'borrowed';
   },
 );
