--- a/packages/gateway/src/control/promotion/claim-lock.ts
+++ b/packages/gateway/src/control/promotion/claim-lock.ts
@@ -1,13 +1,13 @@
 /**
- * Lets one claim of this host run after the other: all of them swap the same duty record, so two at
- * once would make one of them fail.
+ * Serializes the claims of this host: all of them compare and swap the same promotion lease record, so of two
+ * concurrent claims one would fail.
  */
 
-/** Lock of one host. */
+/** Lock shared by all claims of one host. */
 export class ClaimLock {
   private last: Promise<unknown> = Promise.resolve();
 
-  /** Runs `work` once all work before it has ended. */
+  /** Runs `work` once all work queued before it has settled. */
   run<Value>(work: () => Promise<Value>): Promise<Value> {
     const result = this.last.then(work);
     this.last = result.catch(() => undefined);
--- a/packages/gateway/src/control/promotion/failover-order.ts
+++ b/packages/gateway/src/control/promotion/failover-order.ts
@@ -1,5 +1,6 @@
 /**
- * The order in which hosts act on the primary of each group, as every host works it out from the list.
+ * The failover order of each group: the order in which hosts act on its primary. Every host computes it from
+ * the host list.
  */
 import type { AzId, FailoverRules, GroupId, HostId, RegionId } from '@gladespool/coordination';
 import {
@@ -12,25 +13,25 @@
 import { BoardSection } from '../../knowledge/board.js';
 import type { StoreView } from '../store/store-view.js';
 
-/** What the order is made from. */
+/** Inputs of the failover order. */
 export interface FailoverOrderOptions {
   readonly board: GatewayBoard;
   readonly view: Pick<StoreView, 'seenDuty'>;
   readonly rules: FailoverRules;
 }
 
-/** Key by which hosts are ranked for acting; one for all groups, so that the duty seldom moves. */
-const DUTY_RANK_KEY = 'duty';
+/** Key by which hosts are ranked; the same for all groups, so that the promotion lease seldom changes its holder. */
+const RANK_KEY = 'duty';
 
-/** Orders of one region or of none, kept since ranking many hosts at each tick is dear. */
+/** Ranked hosts by preferred region, or without one; cached since ranking many hosts at each tick is expensive. */
 type RankedHosts = Map<RegionId | undefined, readonly HostId[]>;
 
-/** Orders as one host sees them. */
+/** Failover orders as one host sees them. */
 export class FailoverOrder {
-  /** The listed hosts that `ranked` was made of. */
+  /** The listed hosts from which `ranked` was computed. */
   private rankedFrom: ReadonlyMap<HostId, HostEntry> | undefined;
   private ranked: RankedHosts = new Map();
-  /** Region of most of each group's upstreams; undefined until it is asked for again. */
+  /** Region of most of each group's upstreams; undefined until it is needed after a change of the upstreams. */
   private regions: ReadonlyMap<GroupId, RegionId | undefined> | undefined;
 
   constructor(private readonly options: FailoverOrderOptions) {
@@ -40,23 +41,23 @@
   }
 
   /**
-   * All hosts in the order in which they act on a group at `now`: by rank, those of the group's region and
-   * the holder of the duty first.
+   * All hosts in the failover order of a group at `now`: by rank, those of the group's region and the holder of
+   * the promotion lease first.
    */
   hostsFor(group: GroupId, now: number): readonly HostId[] {
     const { view, rules } = this.options;
     return failoverOrder(this.rankedFor(this.regionOfGroup(group)), view.seenDuty, now, rules);
   }
 
-  /** Place of this host in that order by group; -1 while it is not listed. Each region is looked at once. */
+  /** Index of this host in that order by group; -1 while it is not listed. Computed once per region. */
   ownRanks(now: number): (group: GroupId) => number {
     const { board } = this.options;
-    const places = new Map<RegionId | undefined, number>();
+    const ranks = new Map<RegionId | undefined, number>();
     return (group) => {
       const region = this.regionOfGroup(group);
-      const place = places.get(region) ?? this.hostsFor(group, now).indexOf(board.host);
-      places.set(region, place);
-      return place;
+      const rank = ranks.get(region) ?? this.hostsFor(group, now).indexOf(board.host);
+      ranks.set(region, rank);
+      return rank;
     };
   }
 
@@ -65,10 +66,10 @@
     const { hosts, topology } = board;
     if (this.rankedFrom !== hosts) {
       this.rankedFrom = hosts;
-      this.ranked = new Map([[undefined, rankCandidates(DUTY_RANK_KEY, [...hosts.keys()])]]);
+      this.ranked = new Map([[undefined, rankCandidates(RANK_KEY, [...hosts.keys()])]]);
     }
-    const held = this.ranked.get(region);
-    if (held !== undefined) return held;
+    const cached = this.ranked.get(region);
+    if (cached !== undefined) return cached;
     const regionOf = (host: HostId): RegionId | undefined => {
       const entry = hosts.get(host);
       return entry && topology.regionOf(entry.az);
--- a/packages/gateway/src/control/promotion/initial-record-writer.ts
+++ b/packages/gateway/src/control/promotion/initial-record-writer.ts
@@ -12,7 +12,7 @@
 import { primaryKey } from '../store/store-documents.js';
 import type { StoreView } from '../store/store-view.js';
 
-/** What the founder works on. */
+/** Dependencies of the writer. */
 export interface InitialRecordWriterOptions {
   readonly board: GatewayBoard;
   readonly store: MetadataStore;
@@ -22,19 +22,19 @@
 
 /** Epoch of a group's first record. */
 const FIRST_EPOCH = 1;
-/** Longest time for the write, milliseconds. */
+/** Timeout of the write, milliseconds. */
 const WRITE_TIMEOUT_MS = 1000;
-/** Time that each host leaves to those before it in rank, milliseconds: a few round trips. */
+/** Delay for each host ranked before this one, milliseconds: a few round trips. */
 const RANK_DELAY_MS = 300;
 
-/** Founds records of groups that have none. */
+/** Writes the first records of groups that have none. */
 export class InitialRecordWriter {
   private readonly missingSince = new Map<GroupId, number>();
   private readonly writing = new Set<GroupId>();
 
   constructor(private readonly options: InitialRecordWriterOptions) {}
 
-  /** Founds what is missing at `now` and due to this host. */
+  /** Writes the missing records for which this host's turn has come at `now`. */
   tick(now: number): void {
     const { board, view } = this.options;
     if (!view.hasLoaded || !view.isEraSettled || board.hosts.get(board.host) === undefined) return;
@@ -42,7 +42,7 @@
       if (board.record(group) !== undefined) continue;
       const since = this.missingSince.get(group) ?? now;
       this.missingSince.set(group, since);
-      if (now - since >= this.delayOf(group)) void this.found(group);
+      if (now - since >= this.delayOf(group)) void this.write(group);
     }
   }
 
@@ -52,9 +52,9 @@
     return ranked.indexOf(board.host) * RANK_DELAY_MS;
   }
 
-  private async found(group: GroupId): Promise<void> {
+  private async write(group: GroupId): Promise<void> {
     const { board, store, view, log } = this.options;
-    const primary = soleCandidate(board.upstreamsOf(group));
+    const primary = soleReportedPrimary(board.upstreamsOf(group));
     if (primary === undefined || this.writing.has(group)) return;
     this.writing.add(group);
     const record = {
@@ -73,13 +73,13 @@
     };
     const result = await store.change(change, StorePurpose.Record, WRITE_TIMEOUT_MS);
     this.writing.delete(group);
-    const ended = changeResultText(result);
-    log.info('record-founded', { group, primary: primary.id, result: ended });
+    const outcome = changeResultText(result);
+    log.info('record-founded', { group, primary: primary.id, result: outcome });
   }
 }
 
-/** The one upstream that reports itself as primary; undefined when none or several do. */
-function soleCandidate(entries: readonly UpstreamEntry[]): UpstreamEntry | undefined {
+/** The only upstream that reports itself as primary; undefined when none or several do. */
+function soleReportedPrimary(entries: readonly UpstreamEntry[]): UpstreamEntry | undefined {
   const primaries = entries.filter((entry) => entry.role === ReportedRole.Primary);
   return primaries.length === 1 ? primaries[0] : undefined;
 }
--- a/packages/gateway/src/control/promotion/primary-monitor.ts
+++ b/packages/gateway/src/control/promotion/primary-monitor.ts
@@ -1,6 +1,6 @@
 /**
- * Watches whether this host reaches the primaries: by the answers to callers' statements, and by
- * probes while these are missing.
+ * Monitors whether this host reaches the primaries: by the replies to callers' statements, and by probes while
+ * there are none.
  */
 import type { GroupId, Position, PrimaryRecord } from '@gladespool/coordination';
 import { DepositionEvidence } from '@gladespool/observability';
@@ -9,19 +9,19 @@
 import type { UpstreamHealth } from '../../home/upstream-health.js';
 import type { ProbeResult, StatusResult, UpstreamProbe } from '../../home/upstream-probe.js';
 
-/** Times of the monitor. */
+/** Timing of the monitor. */
 export interface MonitorRules {
-  /** Time without an answer, with statements waiting for one, after which a probe is sent, milliseconds. */
+  /** Time without a reply, with statements in flight, after which a probe is sent, milliseconds. */
   readonly probeAfterMs: number;
-  /** The same with nothing waiting, on the host that acts first, milliseconds. */
+  /** The same with nothing in flight, on the first host of the failover order, milliseconds. */
   readonly idleProbeAfterMs: number;
-  /** Longest time for a probe, milliseconds. */
+  /** Timeout of a probe, milliseconds. */
   readonly probeTimeoutMs: number;
-  /** Age up to which an answer or a failure shows whether the primary is reached, milliseconds. */
+  /** Age up to which a reply or a failure shows whether the primary is reached, milliseconds. */
   readonly maxEvidenceAgeMs: number;
 }
 
-/** Played days answer in 35 ms in the middle and 160 ms at the 99th percentile; 200 ms is beyond both. */
+/** In simulated traffic replies take 35 ms at the median and 160 ms at the 99th percentile; 200 ms exceeds both. */
 export const DEFAULT_MONITOR_RULES: MonitorRules = {
   probeAfterMs: 200,
   idleProbeAfterMs: 1000,
@@ -29,7 +29,7 @@
   maxEvidenceAgeMs: 200,
 };
 
-/** What the monitor works on. */
+/** Dependencies of the monitor. */
 export interface PrimaryMonitorOptions {
   readonly board: GatewayBoard;
   readonly home: (group: GroupId) => GroupHome;
@@ -37,40 +37,40 @@
   readonly rules: MonitorRules;
 }
 
-/** Reach of the primaries from this host. */
+/** Reachability of the primaries from this host. */
 export class PrimaryMonitor {
   private readonly probing = new Map<GroupId, Promise<boolean | undefined>>();
 
   constructor(private readonly options: PrimaryMonitorOptions) {}
 
-  /** Sends the probes that are due at `now`; quiet groups are watched where this host `actsFirst`. */
+  /** Sends the probes that are due at `now`; idle groups are probed only where this host `actsFirst`. */
   tick(now: number, actsFirst: (group: GroupId) => boolean): void {
     const { board, rules } = this.options;
     for (const record of board.allRecords) {
       const health = this.healthOf(record.group);
       if (health === undefined) continue;
-      const quietMs = now - health.lastAnswerAt;
-      const waiting = health.inFlight > 0 && quietMs > rules.probeAfterMs;
-      const idle = quietMs > rules.idleProbeAfterMs && actsFirst(record.group);
+      const sinceReplyMs = now - health.lastAnswerAt;
+      const isWaiting = health.inFlight > 0 && sinceReplyMs > rules.probeAfterMs;
+      const isIdle = sinceReplyMs > rules.idleProbeAfterMs && actsFirst(record.group);
       const failing = health.failingSince ?? this.deposedSince(record.group);
-      if (waiting || idle || failing !== undefined) void this.probe(record.group);
+      if (isWaiting || isIdle || failing !== undefined) void this.probe(record.group);
     }
   }
 
-  /** Time for which the primary has failed this host, milliseconds; 0 while it answers. */
+  /** Time for which the primary has been failing for this host, milliseconds; 0 while it replies. */
   failedMs(group: GroupId, now: number): number {
     const since = this.healthOf(group)?.failingSince;
     return since === undefined ? 0 : now - since;
   }
 
-  /** Since when the primary has shown this host that it leads no more; undefined while it leads. */
+  /** Local time since which the upstream has reported that it is no longer primary; undefined while it is. */
   deposedSince(group: GroupId): number | undefined {
     return this.options.home(group).deposedSince;
   }
 
   /**
-   * Whether this host reaches the primary of the group, probed if that is not clear; undefined while the
-   * primary accepts connections and serves none.
+   * Whether this host reaches the primary of the group; probes it without recent evidence. Undefined while the
+   * primary accepts connections but serves none.
    */
   async reaches(group: GroupId): Promise<boolean | undefined> {
     const health = this.healthOf(group);
@@ -106,26 +106,27 @@
     const result = await probe.ask(slot.entry, group, rules.probeTimeoutMs);
     const now = performance.now();
     const { health } = slot;
-    if (result.kind === 'status') noteLead(home(group), record, result, now);
+    if (result.kind === 'status') noteReportedRole(home(group), record, result, now);
     if (result.kind === 'unserved') {
       health.noteUnserved(now);
       return health.failingSince === undefined ? undefined : false;
     }
     const reached =
-      answersAsPrimary(result) && !home(group).detectLogLoss(slot.entry.id, floor, toldBy(result));
+      repliesAsPrimary(result) &&
+      !home(group).detectLogLoss(slot.entry.id, floor, reportedPosition(result));
     if (reached) health.noteAlive(now);
     else health.noteFailure(now, startedAt - rules.probeAfterMs);
     return reached;
   }
 }
 
-/** Whether the upstream answered and did not say that it is a replica; an overloaded one tells no role. */
-function answersAsPrimary(result: ProbeResult): boolean {
+/** Whether the upstream replied and did not report itself as a replica; an overloaded one reports no role. */
+function repliesAsPrimary(result: ProbeResult): boolean {
   return result.kind === 'alive' || (result.kind === 'status' && result.status.isPrimary);
 }
 
-/** Notes what the primary of `record` says of its lead. */
-function noteLead(
+/** Records whether the primary of `record` reports itself as the primary. */
+function noteReportedRole(
   home: GroupHome,
   record: PrimaryRecord,
   { status }: StatusResult,
@@ -135,6 +136,6 @@
   else home.noteDeposed(record, DepositionEvidence.Status, now);
 }
 
-function toldBy(result: ProbeResult): Position | undefined {
+function reportedPosition(result: ProbeResult): Position | undefined {
   return result.kind === 'status' ? result.status.received : undefined;
 }
--- a/packages/gateway/src/control/promotion/promotion-attempt.ts
+++ b/packages/gateway/src/control/promotion/promotion-attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One change of a group's primary, from the claim of its record to the new one. Every step may be
- * repeated; an attempt that ends early leaves a claim that any host takes over.
+ * One change of a group's primary, from the claim of its record to the record of the new primary. Every step is
+ * idempotent; an attempt that ends early leaves a claim that any host can take over.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { NamedSuccessor, PrimaryRecord, UpstreamIdentity } from '@gladespool/coordination';
@@ -25,44 +25,44 @@
 import { SuccessorSearch } from './successor-search.js';
 import { currentEntryOf, isInEvacuatedZone } from './upstream-lookup.js';
 
-/** Causes with which the former primary still serves. */
+/** Causes for which the former primary still serves. */
 const PLANNED: ReadonlySet<PromotionCause> = new Set([
   PromotionCause.Draining,
   PromotionCause.Evacuated,
 ]);
-/** Longest time for naming an upstream in the record, milliseconds. */
-const SWAP_TIMEOUT_MS = 1000;
-/** Longest time for a host to give the former primary up before it counts as silent, milliseconds. */
+/** Timeout of a write that names an upstream in the record, milliseconds. */
+const WRITE_TIMEOUT_MS = 1000;
+/** Time after which a host that has not acknowledged the revocation counts as unresponsive, milliseconds. */
 const REVOKE_TIMEOUT_MS = 700;
 /** Time for which writes are held before a planned change, milliseconds; callers wait no longer. */
 const HOLD_MS = 350;
-/** Pause before a planned change is tried again whose successor was behind, milliseconds: a few lags. */
-const PUT_OFF_MS = 500;
-/** The same after writes were held for it: callers must not wait for most of the time. */
-const HELD_PUT_OFF_MS = 2000;
-/** Time for the answer of a host that held its writes for as long as it may, milliseconds. */
-const HOLD_ANSWER_MS = 100;
-/** Time left to other hosts to take a claim over once they may call, milliseconds: one promotion. */
-const OTHERS_TURN_MS = 1000;
-/** Time for choosing the successor, taken from the end of the wait for silent hosts, milliseconds. */
+/** Pause before a planned change whose successor was behind is retried, milliseconds: a few replication lags. */
+const DEFER_MS = 500;
+/** The same after writes were held for it: callers must not spend most of the time waiting. */
+const DEFER_AFTER_HOLD_MS = 2000;
+/** Time for the reply of a host that held its writes for the full `HOLD_MS`, milliseconds. */
+const HOLD_REPLY_MS = 100;
+/** Time left to other hosts to take over a claim once they may promote, milliseconds: one promotion. */
+const TAKEOVER_MS = 1000;
+/** Time for choosing the successor, before the wait for unresponsive hosts ends, milliseconds. */
 const CHOICE_MS = 250;
 
-/** Who is to follow the former primary. */
+/** The chosen successor of the former primary. */
 interface Choice {
   /** Undefined when too few upstreams report. */
   readonly successor: NamedSuccessor | undefined;
-  /** Whether a planned change had better end with the former primary. */
+  /** Whether a planned change should keep the former primary. */
   readonly keepsFormer: boolean;
 }
 
-/** One attempt. */
+/** One attempt to change the primary. */
 export class PromotionAttempt {
-  /** Local time before which another attempt is of no use. */
+  /** Local time before which another attempt cannot succeed. */
   notBefore = Number.NEGATIVE_INFINITY;
   private readonly startedAt = performance.now();
   private readonly log: PromotionLog;
   private readonly search: SuccessorSearch;
-  private readonly lead: SuccessorPromoter;
+  private readonly promoter: SuccessorPromoter;
 
   /** @param refused the upstream that the platform has refused to promote, as far as this host knows */
   constructor(
@@ -73,96 +73,96 @@
   ) {
     this.log = new PromotionLog(ctx.log, former, cause);
     this.search = new SuccessorSearch(ctx, this.log);
-    this.lead = new SuccessorPromoter(former.group, ctx, this.log);
+    this.promoter = new SuccessorPromoter(former.group, ctx, this.log);
   }
 
-  /** Runs to the end; true when a primary serves under a new epoch. */
+  /** Runs the attempt; resolves with true when a primary serves under a new epoch. */
   async run(): Promise<boolean> {
     this.log.info('promotion-began', { former: this.former.primary });
     if (this.isPlanned && !(await this.prepare())) return false;
     const claim = await this.claim();
     if (claim === undefined) return false;
-    const freeAt = await this.revoke(claim);
-    if (freeAt === undefined) return this.giveUp('hosts-unknown');
-    const { successor, keepsFormer } = await this.chooseSuccessor(claim, freeAt);
+    const expiredAt = await this.revoke(claim);
+    if (expiredAt === undefined) return this.giveUp('hosts-unknown');
+    const { successor, keepsFormer } = await this.chooseSuccessor(claim, expiredAt);
     if (this.isPlanned && keepsFormer) return this.keepFormer(claim);
     if (successor === undefined) return this.giveUp('no-successor');
     const named = await this.name(claim, successor);
     if (named === undefined) return false;
     if (!(await this.promote(named, successor))) return this.giveUp('not-promoted');
-    if (!(await this.lead.waitUntilPrimary(successor))) return this.leaveToOthers(claim);
+    if (!(await this.promoter.waitUntilPrimary(successor))) return this.yieldToOthers(claim);
     return this.publish(named, successor);
   }
 
-  /** Whether the former primary still serves, so that the change can as well wait. */
+  /** Whether the former primary still serves, so that the change can be deferred. */
   private get isPlanned(): boolean {
     return PLANNED.has(this.cause);
   }
 
-  /** Whether the former primary need not leave any more, or has an entry again. */
-  private get formerStays(): boolean {
+  /** Whether the former primary no longer has to be replaced: it is listed, not draining, and its zone is in use. */
+  private get isFormerStaying(): boolean {
     const isLeaving = currentEntryOf(this.ctx.board, this.formerIdentity)?.draining ?? true;
     return !isLeaving && !isInEvacuatedZone(this.ctx.board, this.former.primary);
   }
 
-  /** The former primary as the record names it, whatever its entry tells by now. */
+  /** The former primary as the record names it, regardless of its present entry. */
   private get formerIdentity(): UpstreamIdentity {
     return { id: this.former.primary, born: this.former.born };
   }
 
-  /** Prepares a planned change; false when it is put off. */
+  /** Prepares a planned change; false when it is deferred. */
   private async prepare(): Promise<boolean> {
     const isReady = await this.search.hasReadySuccessor(this.former);
-    if (!isReady) return this.putOff('successor-behind', PUT_OFF_MS);
-    if (!(await this.holdWrites())) return this.putOff('few-hosts-answer', HELD_PUT_OFF_MS);
-    if (this.formerStays) return this.putOff('primary-stays', HELD_PUT_OFF_MS);
+    if (!isReady) return this.defer('successor-behind', DEFER_MS);
+    if (!(await this.holdWrites())) return this.defer('few-hosts-answer', DEFER_AFTER_HOLD_MS);
+    if (this.isFormerStaying) return this.defer('primary-stays', DEFER_AFTER_HOLD_MS);
     return true;
   }
 
-  /** Ends a planned change before anything was claimed. */
-  private putOff(reason: string, pauseMs: number): false {
+  /** Defers a planned change before anything was claimed. */
+  private defer(reason: string, pauseMs: number): false {
     this.notBefore = performance.now() + pauseMs;
     return this.giveUp(reason);
   }
 
   /**
-   * Ends a planned change with the primary that there was: no successor holds all its commits. Not so a
-   * stalled claim: its former holder may have called for a promotion that is about to take effect.
+   * Ends a planned change with the former primary: no successor holds all its commits. A stalled claim is never
+   * ended so: its former holder may have requested a promotion that is about to take effect.
    */
   private async keepFormer(claim: RecordClaim): Promise<false> {
-    this.notBefore = performance.now() + HELD_PUT_OFF_MS;
+    this.notBefore = performance.now() + DEFER_AFTER_HOLD_MS;
     await this.nameServing(claim, this.formerIdentity);
     return this.giveUp('successor-behind');
   }
 
   /**
-   * Lets writes in flight end before a planned change.
+   * Holds new writes before a planned change, so that those in flight end.
    *
-   * @returns whether more than half of the hosts answer. A claim made without them would only leave the
+   * @returns whether more than half of the hosts reply. A claim made without a majority would only leave the
    *   group without a primary.
    */
   private async holdWrites(): Promise<boolean> {
     const { group, epoch } = this.former;
     const own = this.ctx.holds.hold(group, epoch, HOLD_MS, performance.now());
     const question = { kind: FrameKind.HoldRequest, id: 0, group, epoch, holdMs: HOLD_MS } as const;
-    const others = this.ctx.round.requestAll(question, HOLD_MS + HOLD_ANSWER_MS);
+    const others = this.ctx.round.requestAll(question, HOLD_MS + HOLD_REPLY_MS);
     const [answered] = await Promise.all([others, own]);
     return isMajority(1 + answered.size, this.ctx.board.listedHostCount);
   }
 
-  /** Claims the record and the duty, once this host's claims before it have ended. */
+  /** Claims the record and the promotion lease, once this host's earlier claims have ended. */
   private async claim(): Promise<RecordClaim | undefined> {
     const claimer = new RecordClaimer(this.ctx, this.log);
     const result = await this.ctx.claimLock.run(() =>
-      claimer.claim(this.former, this.keptSuccessor, performance.now()),
+      claimer.claim(this.former, this.successorToRetain, performance.now()),
     );
     if (result.isOk()) return result.value;
     if (result.error.kind === 'duty-held') this.notBefore = result.error.until;
     return undefined;
   }
 
-  /** The upstream that the claim before this one has named, if this one has to name it as well. */
-  private get keptSuccessor(): NamedSuccessor | undefined {
+  /** The upstream that the previous claim named, if this claim has to keep it. */
+  private get successorToRetain(): NamedSuccessor | undefined {
     const { board } = this.ctx;
     const { successor } = this.former;
     if (successor === undefined) return undefined;
@@ -174,11 +174,11 @@
   }
 
   /**
-   * Makes sure that no host uses the former primary any more. Hosts that listed themselves later read
-   * the claim before they hold a proof.
+   * Ensures that no host uses the former primary any more. Hosts that register later read the claim before they
+   * hold a proof.
    *
-   * @returns local time from which that holds; undefined when the listed hosts are not known for
-   *   sure or not more than half of them answer.
+   * @returns local time from which that holds; undefined when the host list cannot be read or no majority of the
+   *   listed hosts replies
    */
   private async revoke(claim: RecordClaim): Promise<number | undefined> {
     if (!(await this.ctx.proofs.read())) return undefined;
@@ -195,43 +195,43 @@
     const silent = others.filter((entry) => !answered.has(entry.host)).length + unknown.length;
     this.log.info('promotion-revoked', { listed, silent });
     const now = performance.now();
-    if (silent === 0) return Math.max(now, this.retiredHostsFreeAt());
+    if (silent === 0) return Math.max(now, this.removedHostsExpireAt());
     if (!isMajority(listed - silent, listed)) return undefined;
     return proofsExpiredAt(majorityAt, this.ctx.authority);
   }
 
-  /** When hosts that were taken off the list shortly before hold no proof any more. */
-  private retiredHostsFreeAt(): number {
+  /** Local time from which hosts that were removed from the list hold no valid proof. */
+  private removedHostsExpireAt(): number {
     return proofsExpiredAt(this.ctx.view.lastHostRemovalAt, this.ctx.authority);
   }
 
   /**
-   * The upstream to promote, chosen shortly before the last silent host is free; resolves then. It is chosen
-   * anew if its zone is evacuated meanwhile.
+   * The upstream to promote, chosen shortly before `expiredAt`, when the proofs of unresponsive hosts have expired;
+   * resolves then. The choice is repeated if its zone is evacuated meanwhile.
    */
-  private async chooseSuccessor(claim: RecordClaim, freeAt: number): Promise<Choice> {
-    const kept = claim.record.successor;
-    if (kept !== undefined) {
-      await waitUntil(freeAt);
-      return { successor: kept, keepsFormer: false };
+  private async chooseSuccessor(claim: RecordClaim, expiredAt: number): Promise<Choice> {
+    const retained = claim.record.successor;
+    if (retained !== undefined) {
+      await waitUntil(expiredAt);
+      return { successor: retained, keepsFormer: false };
     }
-    // Where replicas confirm commits, a host that is not free yet may still confirm one.
+    // Where replicas confirm commits, a host with a valid proof may still confirm a commit to its callers.
     const { search } = this;
-    if (search.syncReplicasOf(this.former) > 0) await waitUntil(freeAt);
-    else await waitUntil(freeAt - CHOICE_MS);
+    if (search.syncReplicasOf(this.former) > 0) await waitUntil(expiredAt);
+    else await waitUntil(expiredAt - CHOICE_MS);
     for (;;) {
-      const [found] = await Promise.all([search.find(claim.record), waitUntil(freeAt)]);
+      const [found] = await Promise.all([search.find(claim.record), waitUntil(expiredAt)]);
       const { successor } = found;
       if (successor === undefined || !isInEvacuatedZone(this.ctx.board, successor.id)) return found;
     }
   }
 
   /**
-   * Names the successor in the record before the first call for it. A promotion may take effect long after the
-   * call was given up: with another upstream named meanwhile, callers missed 50,000 confirmed commits in four
-   * seconds (three hosts, the successor stopped for 4.5 s after the call).
+   * Names the successor in the record before its promotion is first requested. A promotion may take effect long
+   * after the request was abandoned: with another upstream named meanwhile, callers missed 50,000 confirmed
+   * commits in four seconds (three hosts, the successor stopped for 4.5 s after the request).
    *
-   * @returns the claim with the named successor; undefined when the claim is this host's no more
+   * @returns the claim with the named successor; undefined when this host no longer holds the claim
    */
   private async name(
     claim: RecordClaim,
@@ -239,29 +239,29 @@
   ): Promise<RecordClaim | undefined> {
     if (claim.record.successor !== undefined) return claim;
     const record = namedRecord(claim.record, successor);
-    const item = await this.swap(claim, record);
+    const item = await this.replaceClaim(claim, record);
     return item && { ...claim, record, item };
   }
 
-  /** Calls for the successor's promotion; false unless the platform has said that it is done. */
+  /** Requests the successor's promotion; false unless the platform has reported that it is done. */
   private async promote(claim: RecordClaim, successor: UpstreamIdentity): Promise<boolean> {
-    const end = await this.lead.requestPromotion(claim, successor);
-    if (end === PromotionCallOutcome.Refused) this.refused = successor;
-    return end === PromotionCallOutcome.Done;
+    const outcome = await this.promoter.requestPromotion(claim, successor);
+    if (outcome === PromotionCallOutcome.Refused) this.refused = successor;
+    return outcome === PromotionCallOutcome.Done;
   }
 
   /**
-   * Ends an attempt whose successor was not seen to lead. Where it was named before already, it may be this host
-   * that does not reach it: the others get the time in which they may take the claim over.
+   * Ends an attempt whose successor was not observed as primary. If an earlier attempt had named it already, this
+   * host may be the one that does not reach it: the others get time to take over the claim.
    */
-  private leaveToOthers(claim: RecordClaim): false {
+  private yieldToOthers(claim: RecordClaim): false {
     const { leaseWindowMs, leaseGapMs } = this.ctx.rules;
     const isRepeated = claim.record.successor !== undefined;
-    if (isRepeated) this.notBefore = claim.sentAt + leaseWindowMs + leaseGapMs + OTHERS_TURN_MS;
+    if (isRepeated) this.notBefore = claim.sentAt + leaseWindowMs + leaseGapMs + TAKEOVER_MS;
     return this.giveUp('no-effect');
   }
 
-  /** Ends the change with a new primary. */
+  /** Completes the change with a new primary. */
   private async publish(claim: RecordClaim, primary: UpstreamIdentity): Promise<boolean> {
     if (!(await this.nameServing(claim, primary))) return false;
     this.ctx.metrics.promotions.inc();
@@ -274,21 +274,24 @@
     return true;
   }
 
-  /** Names the primary that serves the claimed epoch in the record, and tells the hosts. */
+  /** Names the primary that serves the claimed epoch in the record, and notifies the hosts. */
   private async nameServing(claim: RecordClaim, primary: UpstreamIdentity): Promise<boolean> {
-    const item = await this.swap(claim, servingRecord(claim.record, primary));
+    const item = await this.replaceClaim(claim, servingRecord(claim.record, primary));
     if (item === undefined) return false;
     this.ctx.round.notifyAll({ kind: FrameKind.StoreUpdate, items: [item] });
     return true;
   }
 
-  /** Puts `record` in the place of the claim; undefined when the claim is this host's no more, or nobody tells. */
-  private async swap(claim: RecordClaim, record: PrimaryRecord): Promise<StoreItem | undefined> {
+  /** Replaces the claim by `record`; undefined when this host no longer holds it, or the outcome is unknown. */
+  private async replaceClaim(
+    claim: RecordClaim,
+    record: PrimaryRecord,
+  ): Promise<StoreItem | undefined> {
     const { store, view } = this.ctx;
     const { key, position } = claim.item;
     const value = JSON.stringify(record);
     const change = { conditions: [{ key, position }], writes: [{ key, value }], removals: [] };
-    const result = await store.change(change, StorePurpose.Record, SWAP_TIMEOUT_MS);
+    const result = await store.change(change, StorePurpose.Record, WRITE_TIMEOUT_MS);
     if (result.isErr() || result.value.kind !== 'done') {
       await this.ctx.proofs.read();
       const step = record.phase === RecordPhase.Serving ? 'publish' : 'name';
@@ -306,7 +309,7 @@
   }
 }
 
-/** Waits until local time `at`, through one turn of the event loop if that is over. */
+/** Waits until local time `at`; if that has passed, for one turn of the event loop. */
 function waitUntil(at: number): Promise<void> {
   return pause(Math.max(0, at - performance.now()));
 }
--- a/packages/gateway/src/control/promotion/promotion-context.ts
+++ b/packages/gateway/src/control/promotion/promotion-context.ts
@@ -1,5 +1,5 @@
 /**
- * What every change of a primary on one host works with.
+ * Dependencies shared by all promotion attempts of one host.
  */
 import type { AuthorityRules, FailoverRules } from '@gladespool/coordination';
 import type { HostMetrics, Logger } from '@gladespool/observability';
@@ -15,7 +15,7 @@
 import type { StoreView } from '../store/store-view.js';
 import type { WriteHolds } from '../../knowledge/write-holds.js';
 
-/** What attempts work with. */
+/** Dependencies of promotion attempts. */
 export interface PromotionContext {
   readonly self: HostEntry;
   readonly board: GatewayBoard;
--- a/packages/gateway/src/control/promotion/promotion-controller.ts
+++ b/packages/gateway/src/control/promotion/promotion-controller.ts
@@ -1,5 +1,5 @@
 /**
- * Watches every group's primary and starts the change of it when this host is the one to act.
+ * Monitors every group's primary and starts a promotion attempt when this host is the one to act.
  */
 import type {
   GroupId,
@@ -31,70 +31,70 @@
 import { ReachabilityPoll } from './reachability-poll.js';
 import { primaryKey, readOwnDocument } from '../store/store-documents.js';
 
-/** What the controller works with. */
+/** Dependencies of the controller. */
 export interface PromotionControllerOptions {
   readonly context: PromotionContext;
   readonly monitor: PrimaryMonitor;
   readonly reach: ReachabilityReports;
 }
 
-/** Causes on which the other hosts have to agree. */
-const MISSED: ReadonlySet<PromotionCause> = new Set([
+/** Causes that need the agreement of the other hosts. */
+const NEED_AGREEMENT: ReadonlySet<PromotionCause> = new Set([
   PromotionCause.Suspect,
   PromotionCause.Unlisted,
 ]);
-/** Time for which a primary must be unlisted, milliseconds; upstreams that live are back in 2 s. */
+/** Time for which a primary must be unlisted, milliseconds; upstreams that run are listed again within 2 s. */
 const UNLISTED_MS = 500;
-/** Hosts asked while another one is left to act. */
+/** Hosts polled while another host is expected to act. */
 const SAMPLE_HOSTS = 8;
-/** Time left to a host that has asked, before this one asks as well, milliseconds. */
-const LEAVE_TO_OTHER_MS = 1200;
-/** Pause before an attempt that failed is followed by another, milliseconds. */
+/** Time left to a host that has polled this one, before this one polls as well, milliseconds. */
+const YIELD_MS = 1200;
+/** Pause between a failed attempt and the next, milliseconds. */
 const RETRY_PAUSE_MS = 500;
 
-/** A reason to act, and since when it holds. */
-interface Occasion {
+/** A cause to act, and the local time since which it holds. */
+interface PromotionTrigger {
   readonly cause: PromotionCause;
   readonly since: number;
 }
 
 /**
- * What is known of one group. It is kept while the record changes, also by an attempt of this host, which
- * ends in the state that it began with.
+ * State of one group. The object is kept when the record changes, also by an attempt of this host, so that an
+ * attempt ends on the same object on which it began.
  */
 interface GroupState {
-  /** Version of the record that the times below belong to, but for `busy` and `notBefore`. */
+  /** Rank of the record to which the fields below belong, except `busy`, `notBefore` and `refused`. */
   rank: number;
-  /** Local time at which that version was first seen. */
+  /** Local time at which that version of the record was first seen. */
   seenAt: number;
-  /** Whether this host asks the others or attempts a change right now. */
+  /** Whether this host is polling the others or attempting a change. */
   busy: boolean;
   /** Local time before which this host does not act again. */
   notBefore: number;
-  /** The upstream that the platform has refused to promote in the change under way. */
+  /** The upstream that the platform has refused to promote in the current change. */
   refused: UpstreamIdentity | undefined;
-  /** Since when this host has seen the primary without an entry; undefined while it has one. */
+  /** Local time since which the primary has had no entry; undefined while it has one. */
   unlistedSince: number | undefined;
-  /** Since when this host has known that the primary has started anew; undefined while it has not. */
-  bornAnewSince: number | undefined;
-  /** Since when this host has seen the primary leaving; undefined while it stays. */
+  /** Local time since which this host has known that the primary has restarted; undefined while it has not. */
+  restartedSince: number | undefined;
+  /** Local time since which the primary has been draining; undefined while it is not. */
   drainingSince: number | undefined;
-  /** Since when this host has seen the primary's zone evacuated; undefined while it is in use. */
+  /** Local time since which the primary's zone has been evacuated; undefined while it is not. */
   evacuatedSince: number | undefined;
-  /** Local time until which a host that acts before this one is expected to act. */
-  leftToOtherUntil: number;
+  /** Local time until which a host before this one in the failover order is expected to act. */
+  yieldUntil: number;
 }
 
-/** Controller of one host. */
+/** Promotion controller of one host. */
 export class PromotionController implements PeerHandler {
   private readonly groups = new Map<GroupId, GroupState>();
   private readonly poll: ReachabilityPoll;
-  private readonly acting: FailoverOrder;
+  private readonly failoverOrder: FailoverOrder;
 
   constructor(private readonly options: PromotionControllerOptions) {
     const { context, monitor } = options;
     const { board, calls, directory, view, rules } = context;
-    this.acting = new FailoverOrder({ board, view, rules });
+    this.failoverOrder = new FailoverOrder({ board, view, rules });
     this.poll = new ReachabilityPoll({ board, directory, calls, monitor });
   }
 
@@ -102,55 +102,59 @@
   tick(now: number): void {
     const { monitor, context } = this.options;
     const { board, view } = context;
-    const placeOf = this.acting.ownRanks(now);
-    monitor.tick(now, (group) => placeOf(group) === 0);
+    const rankOf = this.failoverOrder.ownRanks(now);
+    monitor.tick(now, (group) => rankOf(group) === 0);
     if (board.draining || !view.hasLoaded || !board.hosts.has(board.host)) return;
     if (!view.isEraSettled) return;
     for (const record of board.allRecords) {
-      if (board.isConfigured(record.group)) this.review(record, placeOf(record.group), now);
+      if (board.isConfigured(record.group)) this.review(record, rankOf(record.group), now);
     }
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
     switch (frame.kind) {
       case FrameKind.RevokeRequest:
-        this.answerRevoke(link, frame);
+        this.replyToRevoke(link, frame);
         return;
       case FrameKind.HoldRequest:
-        void this.answerHold(link, frame);
+        void this.replyToHold(link, frame);
         return;
       case FrameKind.ReachabilityRequest:
-        void this.answerReach(link, frame);
+        void this.replyToReachability(link, frame);
         return;
       default:
     }
   }
 
   onLost(): void {
-    // Nothing is kept by link.
+    // No state is kept per link.
   }
 
   private review(record: PrimaryRecord, rank: number, now: number): void {
     const { board, authority, rules } = this.options.context;
     const state = this.stateOf(record, now);
     if (state.busy || now < state.notBefore) return;
-    const occasion = this.occasionOf(record, state, now);
-    if (occasion === undefined) return;
-    // A host without a proof could not claim anything, and its questions would only load the others.
+    const trigger = this.triggerOf(record, state, now);
+    if (trigger === undefined) return;
+    // A host without a proof cannot claim anything, and its requests would only load the others.
     if (board.isIsolated(now, authority)) return;
     const delayMs = rank * rules.rankDelayMs;
-    if (now - occasion.since >= delayMs) void this.act(record, occasion, state);
+    if (now - trigger.since >= delayMs) void this.act(record, trigger, state);
   }
 
-  /** Why the primary of the record should change, if it should. */
-  private occasionOf(record: PrimaryRecord, state: GroupState, now: number): Occasion | undefined {
+  /** Why the primary of the record should be changed; undefined if it should not. */
+  private triggerOf(
+    record: PrimaryRecord,
+    state: GroupState,
+    now: number,
+  ): PromotionTrigger | undefined {
     if (record.phase === RecordPhase.Claimed) return this.stalledClaim(record, state, now);
     const entry = this.options.context.board.upstreams.get(record.primary);
     if (entry === undefined) return unlistedPrimary(state, now);
     state.unlistedSince = undefined;
     if (!mayBeSameStartTime(record.born, entry.born))
-      return this.primaryBornAnew(record, state, now);
-    state.bornAnewSince = undefined;
+      return this.restartedPrimary(record, state, now);
+    state.restartedSince = undefined;
     const deposed = this.deposedPrimary(record, now);
     if (deposed !== undefined) return deposed;
     if (entry.draining) return this.failingPrimary(record, now) ?? drainingPrimary(state, now);
@@ -162,33 +166,33 @@
     return this.failingPrimary(record, now);
   }
 
-  /** Whether a primary's zone is evacuated and another upstream could follow it. */
+  /** Whether a primary's zone is evacuated and the group has an upstream in use that could replace it. */
   private mustLeaveZone({ az, group }: UpstreamEntry): boolean {
     const { board } = this.options.context;
     return board.evacuations.has(az) && board.hasUpstreamInUse(group);
   }
 
-  /** An own claim has stalled once its attempt is over, be it that of this host's former process. */
+  /** A claim of this host has stalled once its attempt is over, even if an earlier process of the host made it. */
   private stalledClaim(
     record: PrimaryRecord,
     state: GroupState,
     now: number,
-  ): Occasion | undefined {
+  ): PromotionTrigger | undefined {
     const cause = PromotionCause.StalledClaim;
     if (record.holder === this.options.context.board.host) return { cause, since: state.seenAt };
     const since = state.seenAt + this.options.context.rules.stalledAfterMs;
     return now < since ? undefined : { cause, since };
   }
 
-  /** A primary that has said, and not taken back, that it leads no more. */
-  private deposedPrimary({ group }: PrimaryRecord, now: number): Occasion | undefined {
+  /** A primary that has reported that it is no longer primary, and has not reported itself as primary since. */
+  private deposedPrimary({ group }: PrimaryRecord, now: number): PromotionTrigger | undefined {
     const deposedSince = this.options.monitor.deposedSince(group);
     if (deposedSince === undefined) return undefined;
     const since = deposedSince + this.options.context.rules.suspectAfterMs;
     return now < since ? undefined : { cause: PromotionCause.Deposed, since };
   }
 
-  private failingPrimary(record: PrimaryRecord, now: number): Occasion | undefined {
+  private failingPrimary(record: PrimaryRecord, now: number): PromotionTrigger | undefined {
     const { suspectAfterMs } = this.options.context.rules;
     const failedMs = this.options.monitor.failedMs(record.group, now);
     if (failedMs < suspectAfterMs) return undefined;
@@ -196,29 +200,33 @@
   }
 
   /**
-   * A primary whose entry tells another birth than the record. An entry that was read before the record
-   * was written may be older than what the record names; it is waited for until the view holds both.
+   * A primary whose entry shows another start time than the record. An entry that was read before the record was
+   * written may be older than the one the record names, so this waits until the view holds both.
    */
-  private primaryBornAnew(
+  private restartedPrimary(
     record: PrimaryRecord,
     state: GroupState,
     now: number,
-  ): Occasion | undefined {
+  ): PromotionTrigger | undefined {
     const { view } = this.options.context;
     if (!view.isCompleteUpTo(primaryKey(record.group))) return undefined;
-    state.bornAnewSince ??= now;
-    return { cause: PromotionCause.RestartedEmpty, since: state.bornAnewSince };
+    state.restartedSince ??= now;
+    return { cause: PromotionCause.RestartedEmpty, since: state.restartedSince };
   }
 
-  private async act(record: PrimaryRecord, occasion: Occasion, state: GroupState): Promise<void> {
+  private async act(
+    record: PrimaryRecord,
+    trigger: PromotionTrigger,
+    state: GroupState,
+  ): Promise<void> {
     state.busy = true;
     const { context } = this.options;
     if (record.phase === RecordPhase.Serving) state.refused = undefined;
-    const attempt = new PromotionAttempt(record, occasion.cause, context, state.refused);
+    const attempt = new PromotionAttempt(record, trigger.cause, context, state.refused);
     let done = false;
     try {
-      const asks = MISSED.has(occasion.cause);
-      const agreed = !asks || (await this.othersAgree(record, occasion, state));
+      const asks = NEED_AGREEMENT.has(trigger.cause);
+      const agreed = !asks || (await this.othersAgree(record, trigger, state));
       done = agreed && (await attempt.run());
     } finally {
       state.busy = false;
@@ -229,30 +237,30 @@
   }
 
   /**
-   * Whether more than half of all hosts miss the primary. While another host is left to act, this one
-   * asks only a few, to learn by way of whom it can reach the primary meanwhile.
+   * Whether more than half of the polled hosts do not reach the primary. While another host is expected to act,
+   * this one polls only a few, to learn through which of them it can reach the primary meanwhile.
    */
   private async othersAgree(
     record: PrimaryRecord,
-    occasion: Occasion,
+    trigger: PromotionTrigger,
     state: GroupState,
   ): Promise<boolean> {
-    const leaves = performance.now() < state.leftToOtherUntil;
-    const { evidence, reaching } = await this.poll.run(record, leaves ? SAMPLE_HOSTS : undefined);
+    const yields = performance.now() < state.yieldUntil;
+    const { evidence, reaching } = await this.poll.run(record, yields ? SAMPLE_HOSTS : undefined);
     const now = performance.now();
     this.options.reach.put(record.group, record.epoch, reaching, now);
-    const verdict = this.judge(record, occasion, evidence, now);
-    return !leaves && verdict === FailoverDecision.Promote;
+    const verdict = this.judge(record, trigger, evidence, now);
+    return !yields && verdict === FailoverDecision.Promote;
   }
 
   private judge(
     record: PrimaryRecord,
-    occasion: Occasion,
+    trigger: PromotionTrigger,
     evidence: ReachEvidence,
     now: number,
   ): FailoverDecision {
     const { rules, log } = this.options.context;
-    const failedMs = now - occasion.since + rules.suspectAfterMs;
+    const failedMs = now - trigger.since + rules.suspectAfterMs;
     const verdict = decideFailover(evidence, failedMs, rules);
     log.info('suspicion-judged', {
       group: record.group,
@@ -265,44 +273,47 @@
     return verdict;
   }
 
-  /** Gives the former primary up, and says so only if the claim is what this host now holds. */
-  private answerRevoke(link: PeerLink, ask: FrameOf<FrameKind.RevokeRequest>): void {
+  /** Stops using the former primary, and acknowledges it only if this host now holds the claim. */
+  private replyToRevoke(link: PeerLink, request: FrameOf<FrameKind.RevokeRequest>): void {
     const { view, board } = this.options.context;
-    view.applyItems([ask.item], performance.now());
-    const claim = readOwnDocument(ask.item.key, ask.item.value);
+    view.applyItems([request.item], performance.now());
+    const claim = readOwnDocument(request.item.key, request.item.value);
     if (claim.verdict !== DocumentVerdict.Used || claim.document.kind !== 'primary') return;
     const { record } = claim.document;
     const held = board.record(record.group);
     if (held === undefined || !acknowledgesClaim(held, record)) return;
-    link.send({ kind: FrameKind.RevokeReply, id: ask.id });
+    link.send({ kind: FrameKind.RevokeReply, id: request.id });
   }
 
-  private async answerHold(link: PeerLink, ask: FrameOf<FrameKind.HoldRequest>): Promise<void> {
-    const group = groupId(ask.group);
-    await this.options.context.holds.hold(group, ask.epoch, ask.holdMs, performance.now());
-    link.send({ kind: FrameKind.HoldReply, id: ask.id });
+  private async replyToHold(
+    link: PeerLink,
+    request: FrameOf<FrameKind.HoldRequest>,
+  ): Promise<void> {
+    const group = groupId(request.group);
+    await this.options.context.holds.hold(group, request.epoch, request.holdMs, performance.now());
+    link.send({ kind: FrameKind.HoldReply, id: request.id });
   }
 
-  private async answerReach(
+  private async replyToReachability(
     link: PeerLink,
-    ask: FrameOf<FrameKind.ReachabilityRequest>,
+    request: FrameOf<FrameKind.ReachabilityRequest>,
   ): Promise<void> {
-    this.leaveToOther(link.host as HostId, groupId(ask.group));
+    this.yieldTo(link.host as HostId, groupId(request.group));
     if (!this.options.context.view.hasLoaded) return;
-    const reaches = await this.options.monitor.reaches(groupId(ask.group));
-    const answer = { kind: FrameKind.ReachabilityReply, id: ask.id } as const;
-    link.send(reaches === undefined ? answer : { ...answer, reaches });
+    const reaches = await this.options.monitor.reaches(groupId(request.group));
+    const reply = { kind: FrameKind.ReachabilityReply, id: request.id } as const;
+    link.send(reaches === undefined ? reply : { ...reply, reaches });
   }
 
-  /** A host that acts before this one and asks about a primary is left to act. */
-  private leaveToOther(other: HostId, group: GroupId): void {
+  /** Leaves the promotion to a host that polls for a primary and comes before this one in the failover order. */
+  private yieldTo(other: HostId, group: GroupId): void {
     const { board } = this.options.context;
     const now = performance.now();
-    const order = this.acting.hostsFor(group, now);
+    const order = this.failoverOrder.hostsFor(group, now);
     if (order.indexOf(other) > order.indexOf(board.host)) return;
     const record = board.record(group);
     if (record === undefined) return;
-    this.stateOf(record, now).leftToOtherUntil = now + LEAVE_TO_OTHER_MS;
+    this.stateOf(record, now).yieldUntil = now + YIELD_MS;
   }
 
   private stateOf(record: PrimaryRecord, now: number): GroupState {
@@ -313,10 +324,10 @@
       rank,
       seenAt: now,
       unlistedSince: undefined,
-      bornAnewSince: undefined,
+      restartedSince: undefined,
       drainingSince: undefined,
       evacuatedSince: undefined,
-      leftToOtherUntil: Number.NEGATIVE_INFINITY,
+      yieldUntil: Number.NEGATIVE_INFINITY,
     };
     if (held !== undefined) return Object.assign(held, seen);
     const state: GroupState = { ...seen, busy: false, notBefore: now, refused: undefined };
@@ -325,18 +336,18 @@
   }
 }
 
-function unlistedPrimary(state: GroupState, now: number): Occasion | undefined {
+function unlistedPrimary(state: GroupState, now: number): PromotionTrigger | undefined {
   state.unlistedSince ??= now;
   const since = state.unlistedSince + UNLISTED_MS;
   return now < since ? undefined : { cause: PromotionCause.Unlisted, since };
 }
 
-function drainingPrimary(state: GroupState, now: number): Occasion {
+function drainingPrimary(state: GroupState, now: number): PromotionTrigger {
   state.drainingSince ??= now;
   return { cause: PromotionCause.Draining, since: state.drainingSince };
 }
 
-function evacuatedPrimary(state: GroupState, now: number): Occasion {
+function evacuatedPrimary(state: GroupState, now: number): PromotionTrigger {
   state.evacuatedSince ??= now;
   return { cause: PromotionCause.Evacuated, since: state.evacuatedSince };
 }
--- a/packages/gateway/src/control/promotion/promotion-log.ts
+++ b/packages/gateway/src/control/promotion/promotion-log.ts
@@ -1,5 +1,5 @@
 /**
- * Log lines of one change of a primary, each with the group, the epoch that it opens, and the cause.
+ * Log of one change of a primary; each line carries the group, the epoch that the change opens, and the cause.
  */
 import type { PrimaryRecord } from '@gladespool/coordination';
 import type { LogFields, Logger } from '@gladespool/observability';
@@ -13,7 +13,7 @@
     private readonly cause: PromotionCause,
   ) {}
 
-  /** Writes an ordinary event. */
+  /** Logs an event at level info. */
   info(event: string, fields: LogFields): void {
     const { group, epoch } = this.former;
     this.log.info(event, { group, epoch: epoch + 1, cause: this.cause, ...fields });
--- a/packages/gateway/src/control/promotion/promotion-port.ts
+++ b/packages/gateway/src/control/promotion/promotion-port.ts
@@ -1,10 +1,10 @@
 /**
- * The platform's call that makes an upstream the primary of its group.
+ * Port to the platform's call that promotes an upstream to primary of its group.
  */
 import type { GladespoolError, GroupId, HostId, UpstreamId } from '@gladespool/coordination';
 import type { Result } from 'neverthrow';
 
-/** One call for a promotion. */
+/** A request for a promotion. */
 export interface PromotionRequest {
   readonly group: GroupId;
   readonly upstream: UpstreamId;
@@ -13,16 +13,16 @@
   readonly timeoutMs: number;
 }
 
-/** How the call ended. */
+/** Result of a promotion request. */
 export enum PromotionResult {
   Done = 'done',
-  /** That upstream does not run, or the fence is too low. */
+  /** The upstream does not run, or the fence is too low. */
   Refused = 'refused',
-  /** Not now: too many calls, or the platform can't serve it. */
+  /** Not at present: too many calls, or the platform cannot serve the request. */
   RetryLater = 'later',
 }
 
-/** Calls for promotions; an error means that the promotion may or may not come about. */
+/** Requests promotions; an error means that the promotion may or may not take effect. */
 export interface PromotionPort {
   promote(req: PromotionRequest): Promise<Result<PromotionResult, GladespoolError>>;
 }
--- a/packages/gateway/src/control/promotion/reachability-poll.ts
+++ b/packages/gateway/src/control/promotion/reachability-poll.ts
@@ -1,5 +1,5 @@
 /**
- * Asks some hosts of each zone whether they reach a group's primary.
+ * Polls some hosts of each zone whether they reach a group's primary.
  */
 import type { GroupId, HostId, PrimaryRecord, ReachEvidence } from '@gladespool/coordination';
 import { hostId, reachSample } from '@gladespool/coordination';
@@ -9,7 +9,7 @@
 import type { PeerCalls } from '../../peering/peer-calls.js';
 import type { PrimaryMonitor } from './primary-monitor.js';
 
-/** What a poll works with. */
+/** Dependencies of a poll. */
 export interface ReachabilityPollOptions {
   readonly board: GatewayBoard;
   readonly directory: HomeDirectory;
@@ -17,20 +17,20 @@
   readonly monitor: PrimaryMonitor;
 }
 
-/** What a poll found. */
+/** Result of a poll. */
 export interface ReachabilityResult {
   readonly evidence: ReachEvidence;
-  /** Hosts that reach the primary, in the order of their answers. */
+  /** Hosts that reach the primary, in the order of their replies. */
   readonly reaching: readonly HostId[];
 }
 
-/** Longest time for other hosts to say whether they reach a primary, milliseconds. */
+/** Timeout of a reachability request to another host, milliseconds. */
 const REACH_TIMEOUT_MS = 400;
 
-/** One host's answer to the question whether it reaches a primary. */
-interface ReachAnswer {
+/** One host's reply to a reachability request. */
+interface ReachabilityReply {
   readonly host: HostId;
-  /** Undefined when the host did not answer. */
+  /** Undefined when the host did not reply, or replied without a finding. */
   readonly reaches: boolean | undefined;
 }
 
@@ -38,15 +38,15 @@
 export class ReachabilityPoll {
   constructor(private readonly options: ReachabilityPollOptions) {}
 
-  /** Asks this host and others, `maxOthers` of them at most. */
+  /** Polls this host and at most `maxOthers` others. */
   async run(record: PrimaryRecord, maxOthers: number | undefined): Promise<ReachabilityResult> {
-    const asked = this.hostsToAsk(record.group, maxOthers).map((host) =>
+    const polled = this.hostsToAsk(record.group, maxOthers).map((host) =>
       this.askOther(host, record),
     );
-    asked.push(this.askSelf(record.group));
-    const answers = await collect(asked);
-    const reaching = answers.filter((answer) => answer.reaches === true);
-    return { evidence: gatherEvidence(answers), reaching: reaching.map((answer) => answer.host) };
+    polled.push(this.askSelf(record.group));
+    const replies = await collect(polled);
+    const reaching = replies.filter((reply) => reply.reaches === true);
+    return { evidence: gatherEvidence(replies), reaching: reaching.map((reply) => reply.host) };
   }
 
   private hostsToAsk(group: GroupId, maxOthers: number | undefined): readonly HostEntry[] {
@@ -57,49 +57,55 @@
       .filter((entry) => entry !== undefined);
   }
 
-  private async askOther(host: HostEntry, record: PrimaryRecord): Promise<ReachAnswer> {
+  private async askOther(host: HostEntry, record: PrimaryRecord): Promise<ReachabilityReply> {
     const { group, epoch } = record;
-    const ask = (id: number) =>
+    const request = (id: number) =>
       ({ kind: FrameKind.ReachabilityRequest, id, group, epoch }) as const;
-    const answer = await this.options.calls.request(host, ask, REACH_TIMEOUT_MS);
-    const told = answer.isOk() && answer.value.kind === FrameKind.ReachabilityReply;
-    return { host: host.host, reaches: told ? answer.value.reaches : undefined };
+    const reply = await this.options.calls.request(host, request, REACH_TIMEOUT_MS);
+    const isReply = reply.isOk() && reply.value.kind === FrameKind.ReachabilityReply;
+    return { host: host.host, reaches: isReply ? reply.value.reaches : undefined };
   }
 
-  private async askSelf(group: GroupId): Promise<ReachAnswer> {
+  private async askSelf(group: GroupId): Promise<ReachabilityReply> {
     const { monitor, board } = this.options;
     return { host: board.host, reaches: await monitor.reaches(group) };
   }
 }
 
-/** Collects answers until more than half of those asked miss the primary, or all have answered. */
-function collect(asked: readonly Promise<ReachAnswer>[]): Promise<readonly ReachAnswer[]> {
+/** Collects replies until more than half of the polled hosts do not reach the primary, or all have replied. */
+function collect(
+  polled: readonly Promise<ReachabilityReply>[],
+): Promise<readonly ReachabilityReply[]> {
   return new Promise((resolve) => {
-    const answers: ReachAnswer[] = [];
-    const missing = (): number => answers.filter((answer) => answer.reaches === false).length;
-    for (const pending of asked) {
-      void pending.then((answer) => {
-        answers.push(answer);
-        const decided = missing() * 2 > asked.length;
-        if (decided || answers.length === asked.length) resolve(padded(answers, asked.length));
+    const replies: ReachabilityReply[] = [];
+    const missing = (): number => replies.filter((reply) => reply.reaches === false).length;
+    for (const pending of polled) {
+      void pending.then((reply) => {
+        replies.push(reply);
+        const decided = missing() * 2 > polled.length;
+        if (decided || replies.length === polled.length)
+          resolve(padToCount(replies, polled.length));
       });
     }
   });
 }
 
-/** Answers with those that did not come in time counted as silence. */
-function padded(answers: readonly ReachAnswer[], count: number): readonly ReachAnswer[] {
-  const late = Array.from({ length: count - answers.length }, () => ({
+/** Replies, padded to `count` with entries of unknown reachability for those that have not arrived. */
+function padToCount(
+  replies: readonly ReachabilityReply[],
+  count: number,
+): readonly ReachabilityReply[] {
+  const late = Array.from({ length: count - replies.length }, () => ({
     host: hostId(''),
     reaches: undefined,
   }));
-  return [...answers, ...late];
+  return [...replies, ...late];
 }
 
-function gatherEvidence(answers: readonly ReachAnswer[]): ReachEvidence {
+function gatherEvidence(replies: readonly ReachabilityReply[]): ReachEvidence {
   return {
-    reaching: answers.filter((answer) => answer.reaches === true).length,
-    failing: answers.filter((answer) => answer.reaches === false).length,
-    silent: answers.filter((answer) => answer.reaches === undefined).length,
+    reaching: replies.filter((reply) => reply.reaches === true).length,
+    failing: replies.filter((reply) => reply.reaches === false).length,
+    silent: replies.filter((reply) => reply.reaches === undefined).length,
   };
 }
--- a/packages/gateway/src/control/promotion/record-claimer.ts
+++ b/packages/gateway/src/control/promotion/record-claimer.ts
@@ -1,5 +1,5 @@
 /**
- * Claims a group's record, and with it the duty, in one change of the store.
+ * Claims a group's record and the promotion lease in one change of the store.
  */
 import type { NamedSuccessor, PrimaryRecord } from '@gladespool/coordination';
 import { claimPromotionLease, claimedRecord, recordRank } from '@gladespool/coordination';
@@ -11,25 +11,25 @@
 import type { PromotionLog } from './promotion-log.js';
 import { PROMOTION_LEASE_KEY, primaryKey } from '../store/store-documents.js';
 
-/** Longest time for the change, milliseconds. */
+/** Timeout of the change, milliseconds. */
 const CLAIM_TIMEOUT_MS = 1000;
 
-/** A claimed record and the fence under which calls may be made. */
+/** A claimed record and the fence under which promotions may be requested. */
 export interface RecordClaim {
   readonly record: PrimaryRecord;
   readonly item: StoreItem;
   readonly fence: number;
-  /** Local time at which the claim was sent; the duty's window counts from here. */
+  /** Local time at which the claim was sent; the lease window starts here. */
   readonly sentAt: number;
-  /** Local time at which the store had confirmed it. */
+  /** Local time at which the store's confirmation arrived. */
   readonly confirmedAt: number;
 }
 
 /** Why a record was not claimed. */
 export type ClaimRefusal =
-  /** Another host may still be calling; its window is over at that local time. */
+  /** Another host may still request promotions; its lease window ends at local time `until`. */
   | { readonly kind: 'duty-held'; readonly until: number }
-  /** The store did not make the change, or did not tell. */
+  /** The store did not apply the change, or its outcome is unknown. */
   | { readonly kind: 'not-written' };
 
 /** Claims records for one host. */
@@ -39,7 +39,7 @@
     private readonly log: PromotionLog,
   ) {}
 
-  /** Claims the record that follows `former`, with the `successor` that is named already; sent at `now`. */
+  /** Claims the record that follows `former`, keeping a `successor` that is already named; sent at `now`. */
   async claim(
     former: PrimaryRecord,
     successor: NamedSuccessor | undefined,
@@ -53,30 +53,30 @@
       this.log.info('promotion-claim-outdated', { former: former.primary });
       return err({ kind: 'not-written' });
     }
-    const duty = this.takeDuty(now);
-    if (duty.isErr()) return err(duty.error);
-    const fence = duty.value;
+    const lease = this.takeLease(now);
+    if (lease.isErr()) return err(lease.error);
+    const fence = lease.value;
     const record = claimedRecord(former, this.ctx.self.host, successor);
     return this.write(record, fence, now);
   }
 
-  /** Whether the record is still the one held; it may have changed while other claims went first. */
+  /** Whether the record is still current; it may have changed while earlier claims were running. */
   private isCurrent(former: PrimaryRecord): boolean {
-    const held = this.ctx.board.record(former.group);
-    return held !== undefined && recordRank(held) === recordRank(former);
+    const current = this.ctx.board.record(former.group);
+    return current !== undefined && recordRank(current) === recordRank(former);
   }
 
-  /** The fence under which this host may take the duty. */
-  private takeDuty(now: number): Result<number, ClaimRefusal> {
+  /** The fence under which this host may take the promotion lease. */
+  private takeLease(now: number): Result<number, ClaimRefusal> {
     const { self, view, rules } = this.ctx;
     const seen = view.seenDuty;
-    const duty = claimPromotionLease(seen, self, now, rules);
-    if (duty.kind === 'take') return ok(duty.fence);
+    const lease = claimPromotionLease(seen, self, now, rules);
+    if (lease.kind === 'take') return ok(lease.fence);
     this.log.info('promotion-waits-for-duty', {
       holder: seen?.holder,
-      wait_ms: Math.round(duty.until - now),
+      wait_ms: Math.round(lease.until - now),
     });
-    return err({ kind: 'duty-held', until: duty.until });
+    return err({ kind: 'duty-held', until: lease.until });
   }
 
   private async write(
@@ -86,8 +86,8 @@
   ): Promise<Result<RecordClaim, ClaimRefusal>> {
     const { store, view, proofs } = this.ctx;
     const own = { key: primaryKey(record.group), value: JSON.stringify(record) };
-    const duty = { key: PROMOTION_LEASE_KEY, value: this.dutyValue(fence) };
-    const change = this.swapOf([own, duty]);
+    const lease = { key: PROMOTION_LEASE_KEY, value: this.leaseValue(fence) };
+    const change = this.conditionalChange([own, lease]);
     const result = await store.change(change, StorePurpose.Record, CLAIM_TIMEOUT_MS);
     const confirmedAt = performance.now();
     if (result.isErr() || result.value.kind !== 'done') {
@@ -97,11 +97,11 @@
     }
     const { position } = result.value;
     const item = { ...own, position };
-    view.applyItems([item, { ...duty, position }], confirmedAt);
+    view.applyItems([item, { ...lease, position }], confirmedAt);
     return ok({ record, item, fence, sentAt, confirmedAt });
   }
 
-  private dutyValue(fence: number): string {
+  private leaseValue(fence: number): string {
     const { self, view } = this.ctx;
     return JSON.stringify({
       holder: self.host,
@@ -111,8 +111,8 @@
     });
   }
 
-  /** Writes that count only if no key has changed since it was seen. */
-  private swapOf(writes: StoreChange['writes']): StoreChange {
+  /** A change that applies only if none of its keys has changed since this host read it. */
+  private conditionalChange(writes: StoreChange['writes']): StoreChange {
     const { view } = this.ctx;
     const conditions = writes.map(({ key }) => view.conditionOn(key));
     return { conditions, writes, removals: [] };
--- a/packages/gateway/src/control/promotion/successor-promoter.ts
+++ b/packages/gateway/src/control/promotion/successor-promoter.ts
@@ -1,6 +1,6 @@
 /**
- * Brings a named successor to the lead: calls for its promotion, and waits until it leads and shows all that it
- * has received.
+ * Promotes a named successor: requests its promotion, and waits until it is primary and its reads show all that
+ * it has received.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { GroupId, NamedSuccessor, UpstreamIdentity } from '@gladespool/coordination';
@@ -14,26 +14,26 @@
 import { STATUS_TIMEOUT_MS } from './successor-search.js';
 import { currentEntryOf, isInEvacuatedZone } from './upstream-lookup.js';
 
-/** Longest time for one call for a promotion, milliseconds. */
-const CALL_TIMEOUT_MS = 1000;
+/** Timeout of one promotion request, milliseconds. */
+const REQUEST_TIMEOUT_MS = 1000;
 /**
- * Time for which an attempt waits for a promotion to take effect, milliseconds; the platform's takes 300 to 600.
- * It may take effect later all the same.
+ * Time for which an attempt waits for a promotion to take effect, milliseconds; the platform takes 300 to 600.
+ * The promotion may still take effect later.
  */
-const EFFECT_MS = 2500;
-/** Time between two calls or two looks at the successor, milliseconds. */
+const EFFECT_TIMEOUT_MS = 2500;
+/** Interval between two promotion requests or two probes of the successor, milliseconds. */
 const POLL_MS = 40;
 
-/** How the calls for a promotion ended. */
+/** Outcome of the requests for a promotion. */
 export enum PromotionCallOutcome {
   Done = 'done',
-  /** The platform will not promote that upstream. */
+  /** The platform refuses to promote that upstream. */
   Refused = 'refused',
-  /** No answer that settles it, or the time for calls was over; the promotion may take effect or not. */
+  /** No definite reply, or the lease window ended; the promotion may or may not take effect. */
   Indeterminate = 'unsettled',
 }
 
-/** Calls and waits of one attempt. */
+/** Promotion of the successor within one attempt. */
 export class SuccessorPromoter {
   constructor(
     private readonly group: GroupId,
@@ -42,8 +42,8 @@
   ) {}
 
   /**
-   * Calls for the promotion, never after the duty's window, nor of an upstream that has started anew
-   * meanwhile, nor into a zone that is evacuated.
+   * Requests the promotion, never after the lease window, nor of an upstream that has restarted meanwhile, nor of
+   * one in an evacuated zone.
    */
   async requestPromotion(
     claim: RecordClaim,
@@ -55,20 +55,20 @@
     for (let leftMs = windowEnd - performance.now(); leftMs > 0;) {
       if (currentEntryOf(board, successor) === undefined) return PromotionCallOutcome.Indeterminate;
       if (isInEvacuatedZone(board, upstream)) return PromotionCallOutcome.Indeterminate;
-      // A store that came back from a copy may have lost the duty, and let another host take it.
+      // A store restored from a backup may have lost the promotion lease, and let another host take it.
       if (view.ownPosition.era !== claim.item.position.era)
         return PromotionCallOutcome.Indeterminate;
-      const answer = await port.promote({
+      const reply = await port.promote({
         group: this.group,
         upstream,
         holder: self.host,
         fence: claim.fence,
-        timeoutMs: Math.min(CALL_TIMEOUT_MS, leftMs),
+        timeoutMs: Math.min(REQUEST_TIMEOUT_MS, leftMs),
       });
-      const told = answer.isOk() ? answer.value : answer.error.message;
-      this.log.info('promotion-called', { upstream, fence: claim.fence, result: told });
-      if (answer.isOk() && answer.value === PromotionResult.Done) return PromotionCallOutcome.Done;
-      if (answer.isOk() && answer.value === PromotionResult.Refused)
+      const outcome = reply.isOk() ? reply.value : reply.error.message;
+      this.log.info('promotion-called', { upstream, fence: claim.fence, result: outcome });
+      if (reply.isOk() && reply.value === PromotionResult.Done) return PromotionCallOutcome.Done;
+      if (reply.isOk() && reply.value === PromotionResult.Refused)
         return PromotionCallOutcome.Refused;
       await pause(POLL_MS);
       leftMs = windowEnd - performance.now();
@@ -77,33 +77,33 @@
   }
 
   /**
-   * Waits until the successor leads a later term than it knew when it was chosen, and its reads show all that it
-   * holds. One that has started anew since then lacks what it was chosen for.
+   * Waits until the successor is primary in a later term than when it was chosen, and its reads show all that it
+   * has received. One that has restarted since then lacks the commits for which it was chosen.
    *
-   * @returns false when that has not come about yet, or can't any more
+   * @returns false when that has not happened in time, or no longer can
    */
   async waitUntilPrimary(successor: NamedSuccessor): Promise<boolean> {
     const { probe, board } = this.ctx;
-    const until = performance.now() + EFFECT_MS;
-    let hasLed = false;
+    const until = performance.now() + EFFECT_TIMEOUT_MS;
+    let wasPrimary = false;
     while (performance.now() < until) {
       const entry = currentEntryOf(board, successor);
       if (entry === undefined) return false;
       const result = await probe.ask(entry, this.group, STATUS_TIMEOUT_MS);
       if (result.kind === 'status' && result.status.isPrimary) {
-        if (isBehindChoice(successor, entry, result.status)) return false;
-        const leads = hasTakenLead(successor, result.status);
-        if (leads && !hasLed) this.noteLead(successor, result);
-        if (leads && showsAll(result)) return true;
-        hasLed ||= leads;
+        if (hasLostCommits(successor, entry, result.status)) return false;
+        const isPrimary = hasBecomePrimary(successor, result.status);
+        if (isPrimary && !wasPrimary) this.logEffect(successor, result);
+        if (isPrimary && hasAppliedAll(result)) return true;
+        wasPrimary ||= isPrimary;
       }
       await pause(POLL_MS);
     }
     return false;
   }
 
-  /** Tells what the new primary holds, and how much of it its reads show already. */
-  private noteLead({ id, isPrimary }: NamedSuccessor, { status, applied }: StatusResult): void {
+  /** Logs how much the new primary has received, and how much of it its reads show already. */
+  private logEffect({ id, isPrimary }: NamedSuccessor, { status, applied }: StatusResult): void {
     this.log.info('promotion-took-effect', {
       upstream: id,
       term: status.term,
@@ -114,23 +114,23 @@
   }
 }
 
-function hasTakenLead(successor: NamedSuccessor, { term }: UpstreamStatus): boolean {
+function hasBecomePrimary(successor: NamedSuccessor, { term }: UpstreamStatus): boolean {
   return successor.isPrimary || term > successor.term;
 }
 
 /**
- * Whether reads of the new primary show all that it has received. What it has still to apply was confirmed by the
- * former primary, and a read of the primary carries no position of that one.
+ * Whether reads of the new primary show all that it has received. What it has yet to apply was confirmed by the
+ * former primary, and reads of the primary carry no position of the former one that they could wait for.
  */
-function showsAll({ status, applied }: StatusResult): boolean {
+function hasAppliedAll({ status, applied }: StatusResult): boolean {
   return applied === undefined || comparePositions(applied, status.received) >= 0;
 }
 
 /**
- * Whether a successor has started anew before its new entry was read: it holds less than when it was chosen.
- * Only upstreams that tell their births start anew under their ids.
+ * Whether a successor has restarted before its new entry was read: it holds less than when it was chosen. Only
+ * upstreams that report their start times restart under their ids.
  */
-function isBehindChoice(
+function hasLostCommits(
   chosen: NamedSuccessor,
   entry: UpstreamIdentity,
   status: UpstreamStatus,
--- a/packages/gateway/src/control/promotion/successor-search.ts
+++ b/packages/gateway/src/control/promotion/successor-search.ts
@@ -1,5 +1,5 @@
 /**
- * Finds the upstream that follows a group's primary, and tells before a planned change whether there is one.
+ * Finds the successor of a group's primary, and checks before a planned change whether there is one.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { AzId, PrimaryRecord, SuccessorReport } from '@gladespool/coordination';
@@ -13,55 +13,55 @@
 import type { PromotionContext } from './promotion-context.js';
 import type { PromotionLog } from './promotion-log.js';
 
-/** Longest time for an upstream's status, milliseconds. */
+/** Timeout of a status request to an upstream, milliseconds. */
 export const STATUS_TIMEOUT_MS = 200;
-/** Longest time for a successor to receive what the former primary holds, milliseconds. */
+/** Time limit for a successor to receive what the former primary holds, milliseconds. */
 const CATCH_UP_MS = 500;
 /**
- * The same where replicas confirm commits: without all the reports that this takes nobody may follow,
- * and a search that ends early costs the next one a stalled claim.
+ * The same where replicas confirm commits: no upstream may be promoted without all the reports that this takes,
+ * and a search that ends early leaves a stalled claim, for which the next one has to wait.
  */
 const CONFIRMING_CATCH_UP_MS = 1500;
-/** Time between two rounds of questions to the upstreams, milliseconds. */
+/** Interval between two rounds of status requests to the upstreams, milliseconds. */
 const POLL_MS = 40;
 
 /**
- * Commits by which a successor may be behind when a planned change begins: about what a primary commits
- * in the time that a replica needs to receive them. Writes are held before it is chosen.
+ * Number of commits by which a successor may be behind when a planned change begins: about what a primary commits
+ * in the time that a replica needs to receive them. Writes are held before the successor is chosen.
  */
-const READY_GAP = 8;
+const MAX_READY_LAG = 8;
 
-/** What a search found. */
+/** Result of a search. */
 export interface SearchResult {
   /** Undefined when too few upstreams report. */
   readonly successor: SuccessorReport | undefined;
-  /** Whether a planned change had better end with the former primary. */
+  /** Whether a planned change should keep the former primary. */
   readonly keepsFormer: boolean;
 }
 
-/** What one round of reports shows. */
+/** Result of one round of reports. */
 interface Comparison {
   readonly chosen: SuccessorReport | undefined;
-  /** The former primary's own report; undefined when it is silent or has started anew. */
+  /** The former primary's own report; undefined when it does not reply or has restarted. */
   readonly held: SuccessorReport | undefined;
 }
 
-/** Asks the upstreams of one group. */
+/** Searches the upstreams of one group for a successor. */
 export class SuccessorSearch {
   constructor(
     private readonly ctx: PromotionContext,
     private readonly log: PromotionLog,
   ) {}
 
-  /** Whether a planned change would find a successor that can have received everything in time. */
+  /** Whether a planned change would find a successor that can receive everything in time. */
   async hasReadySuccessor(former: PrimaryRecord): Promise<boolean> {
     const reports = await this.reports(former);
     const { chosen, held } = this.compare(former, reports, this.syncReplicasOf(former));
     if (chosen === undefined || held === undefined) return false;
-    return held.received.offset - chosen.received.offset <= READY_GAP;
+    return held.received.offset - chosen.received.offset <= MAX_READY_LAG;
   }
 
-  /** The upstream to promote, one that holds all that the former primary has if there is one in time. */
+  /** The upstream to promote: one that holds all that the former primary has, if there is one in time. */
   async find(former: PrimaryRecord): Promise<SearchResult> {
     const confirming = this.syncReplicasOf(former);
     const catchUpMs = confirming > 0 ? CONFIRMING_CATCH_UP_MS : CATCH_UP_MS;
@@ -82,7 +82,7 @@
     }
   }
 
-  /** Replicas that have received a commit before it is confirmed. */
+  /** Number of replicas that have received a commit before it is confirmed. */
   syncReplicasOf({ group }: PrimaryRecord): number {
     return this.ctx.board.catalog?.groups.get(group)?.syncReplicas ?? 0;
   }
@@ -106,20 +106,22 @@
   ): SuccessorReport | undefined {
     const members = this.ctx.board.upstreamsOf(former.group);
     const replicas = members.filter((entry) => entry.id !== former.primary).length;
-    if (replicas === 0) return soleSuccessor(former, reports);
+    if (replicas === 0) return restartedFormerPrimary(former, reports);
     return chooseCoveringSuccessor(reports, former.primary, replicas, confirming);
   }
 
   private async reports(former: PrimaryRecord): Promise<readonly SuccessorReport[]> {
     const { board } = this.ctx;
     const formerAz = board.upstreams.get(former.primary)?.az;
-    const members = board.upstreamsOf(former.group).filter((entry) => this.matters(entry, former));
+    const members = board
+      .upstreamsOf(former.group)
+      .filter((entry) => this.isReportNeeded(entry, former));
     const found = await Promise.all(members.map((entry) => this.report(entry, formerAz)));
     return found.filter((report) => report !== undefined);
   }
 
-  /** Whether the choice needs an upstream's report: those of evacuated zones tell only what is confirmed. */
-  private matters(entry: UpstreamEntry, former: PrimaryRecord): boolean {
+  /** Whether the choice needs an upstream's report; those from evacuated zones show only what has been confirmed. */
+  private isReportNeeded(entry: UpstreamEntry, former: PrimaryRecord): boolean {
     if (!this.ctx.board.evacuations.has(entry.az)) return true;
     return entry.id === former.primary || this.syncReplicasOf(former) > 0;
   }
@@ -137,7 +139,7 @@
     return { ...result.status, id, born, draining, evacuated, isInFormerRegion };
   }
 
-  /** Whether a zone lies in the region where the primary was; all are alike once its entry is gone. */
+  /** Whether a zone lies in the region of the former primary; true for all zones once its entry is gone. */
   private isInFormerRegion(formerAz: AzId | undefined, az: AzId): boolean {
     if (formerAz === undefined) return true;
     return this.ctx.board.topology.distance(formerAz, az) !== Distance.OtherRegion;
@@ -145,10 +147,10 @@
 }
 
 /**
- * The former primary itself where it has started anew and the group has no other upstream: nobody else
- * can hold what it has lost. Replicas that are only silent are waited for until their entries go.
+ * The former primary itself, where it has restarted and the group has no other upstream: none else can hold what
+ * it has lost. Replicas that are merely unresponsive are waited for until their entries are removed.
  */
-function soleSuccessor(
+function restartedFormerPrimary(
   former: PrimaryRecord,
   reports: readonly SuccessorReport[],
 ): SuccessorReport | undefined {
@@ -156,8 +158,8 @@
 }
 
 /**
- * Whether `chosen` has received all that the former primary reports, which is nothing when that one is
- * silent; false when none is chosen.
+ * Whether `chosen` has received all that the former primary reports, which is nothing when it does not reply;
+ * false when none is chosen.
  */
 function hasCaughtUp(
   chosen: SuccessorReport | undefined,
--- a/packages/gateway/src/control/promotion/upstream-lookup.ts
+++ b/packages/gateway/src/control/promotion/upstream-lookup.ts
@@ -1,12 +1,12 @@
 /**
- * Where an upstream stands by what the board shows now.
+ * Looks up upstreams on the board.
  */
 import type { UpstreamId, UpstreamIdentity } from '@gladespool/coordination';
 import { mayBeSameUpstream } from '@gladespool/coordination';
 import type { GatewayBoard } from '../../knowledge/board.js';
 import type { UpstreamEntry } from '../../model/catalog.js';
 
-/** The entry of an upstream; undefined when it has none, or tells of another one that started since. */
+/** The entry of an upstream; undefined when it has none, or the entry belongs to a later start of it. */
 export function currentEntryOf(
   board: GatewayBoard,
   upstream: UpstreamIdentity,
@@ -15,7 +15,7 @@
   return entry !== undefined && mayBeSameUpstream(upstream, entry) ? entry : undefined;
 }
 
-/** Whether an upstream lies in a zone that is evacuated now. */
+/** Whether an upstream lies in a zone that is being evacuated. */
 export function isInEvacuatedZone(board: GatewayBoard, upstream: UpstreamId): boolean {
   const entry = board.upstreams.get(upstream);
   return entry !== undefined && board.evacuations.has(entry.az);
