--- a/packages/gateway/src/control/proofs/peer-proof-renewer.ts
+++ b/packages/gateway/src/control/proofs/peer-proof-renewer.ts
@@ -1,7 +1,7 @@
 /**
- * Renews this host's proof by way of the other hosts while the store does not answer. A round asks all
- * listed hosts, and counts if more than half of them answer. Mostly one host of the deployment asks; the
- * rest get the proof from it, and ask for themselves only once that is late.
+ * Renews this host's proof through the other hosts while the store does not reply. A round sends a request to all
+ * listed hosts, and is valid if more than half of them reply. Usually one host of the deployment runs the rounds;
+ * the rest receive the proof from it, and run rounds of their own only once that is late.
  */
 import type { AuthorityRules, EventLoopMonitor } from '@gladespool/coordination';
 import { hostId, isRenewalValid, renewalDueAge, renewalIntervalMs } from '@gladespool/coordination';
@@ -16,7 +16,7 @@
 import type { RelayOrder } from '../../knowledge/relay-order.js';
 import type { StoreView } from '../store/store-view.js';
 
-/** What the renewer works on. */
+/** Dependencies of the renewer. */
 export interface PeerProofRenewerOptions {
   readonly self: HostEntry;
   readonly board: GatewayBoard;
@@ -29,18 +29,18 @@
   readonly log: Logger;
 }
 
-/** Longest time for a round, milliseconds. */
+/** Timeout of a round, milliseconds. */
 const TIMEOUT_MS = 200;
 
-/** Renewals of one host. */
+/** Renews the proof of one host through its peers. */
 export class PeerProofRenewer implements PeerHandler {
-  /** Whether a round is under way. */
-  private asking = false;
-  private lastAskAt = Number.NEGATIVE_INFINITY;
-  /** Rounds in a row that did not count. */
-  private failed = 0;
-  /** Whether the latest round counted and the store has not renewed the proof since. */
-  private renewing = false;
+  /** Whether a round is in progress. */
+  private isRunning = false;
+  private lastRoundAt = Number.NEGATIVE_INFINITY;
+  /** Number of consecutive rounds without a majority. */
+  private failedRounds = 0;
+  /** Whether the latest round was valid and the store has not renewed the proof since. */
+  private isRenewing = false;
 
   constructor(private readonly options: PeerProofRenewerOptions) {}
 
@@ -50,13 +50,13 @@
     const place = { zone: order.zoneRank, rank: order.rank };
     const ageMs = now - board.latestProofAt - loop.pausedMsSince(board.latestProofAt);
     if (ageMs < renewalDueAge(place, board.topology.isMultiRegion)) {
-      if (ageMs < this.firstDueAge) this.noteStore(now);
+      if (ageMs < this.firstDueAge) this.noteStoreRenewal(now);
       return;
     }
     const isIsolated = board.isIsolated(now, this.options.authority);
-    const pauseMs = renewalIntervalMs(place, this.failed, isIsolated);
-    if (this.asking || now - this.lastAskAt < pauseMs) return;
-    this.lastAskAt = now;
+    const pauseMs = renewalIntervalMs(place, this.failedRounds, isIsolated);
+    if (this.isRunning || now - this.lastRoundAt < pauseMs) return;
+    this.lastRoundAt = now;
     void this.renew(now);
   }
 
@@ -71,53 +71,53 @@
   }
 
   onLost(): void {
-    // A lost link is an answer that did not come.
+    // A request on a lost link times out.
   }
 
   private async renew(sentAt: number): Promise<void> {
     const { proofs, self, round } = this.options;
     const list = proofs.latestHostList;
     if (list?.hosts.get(self.host) !== self.incarnation) return;
-    this.asking = true;
+    this.isRunning = true;
     const { host, incarnation } = self;
-    const question = { kind: FrameKind.RenewRequest, id: 0, host, incarnation } as const;
+    const request = { kind: FrameKind.RenewRequest, id: 0, host, incarnation } as const;
     let answered = 1;
-    await round.requestAll(question, TIMEOUT_MS, (answer) => {
-      if (this.takeSupport(answer, list)) answered += 1;
+    await round.requestAll(request, TIMEOUT_MS, (reply) => {
+      if (this.acceptReply(reply, list)) answered += 1;
     });
-    this.asking = false;
+    this.isRunning = false;
     const renewal = { listed: list.listed, answered, listReadAt: list.readAt };
-    const counts = isRenewalValid(renewal, performance.now(), this.options.authority);
-    this.noteRound(counts, answered, list.listed);
-    this.failed = counts ? 0 : this.failed + 1;
-    if (counts) proofs.acceptPeerRenewal(sentAt, list);
+    const isValid = isRenewalValid(renewal, performance.now(), this.options.authority);
+    this.noteRound(isValid, answered, list.listed);
+    this.failedRounds = isValid ? 0 : this.failedRounds + 1;
+    if (isValid) proofs.acceptPeerRenewal(sentAt, list);
   }
 
-  /** Whether a host answered as the very process that is listed; what it knows is taken over. */
-  private takeSupport({ host, incarnation, items }: RoundReply, list: HostList): boolean {
+  /** Whether the reply is from the very process that is listed; applies the records that it carries. */
+  private acceptReply({ host, incarnation, items }: RoundReply, list: HostList): boolean {
     if (list.hosts.get(host) !== incarnation) return false;
     this.options.view.applyItems(items, performance.now());
     return true;
   }
 
-  private noteRound(counts: boolean, answered: number, listed: number): void {
-    if (counts === this.renewing) return;
-    this.renewing = counts;
-    this.options.log.info(counts ? 'proof-renewed-by-hosts' : 'proof-not-renewed', {
+  private noteRound(isValid: boolean, answered: number, listed: number): void {
+    if (isValid === this.isRenewing) return;
+    this.isRenewing = isValid;
+    this.options.log.info(isValid ? 'proof-renewed-by-hosts' : 'proof-not-renewed', {
       answered,
       listed,
     });
   }
 
-  /** Age of a proof from which the first of all hosts asks, milliseconds. */
+  /** Age of the proof from which the first of all hosts starts a round, milliseconds. */
   private get firstDueAge(): number {
     return renewalDueAge({ zone: 0, rank: 0 }, this.options.board.topology.isMultiRegion);
   }
 
-  private noteStore(now: number): void {
+  private noteStoreRenewal(now: number): void {
     const { listedAt } = this.options.proofs;
-    if (!this.renewing || now - listedAt > this.firstDueAge) return;
-    this.renewing = false;
+    if (!this.isRenewing || now - listedAt > this.firstDueAge) return;
+    this.isRenewing = false;
     this.options.log.info('proof-renewed-by-store');
   }
 }
--- a/packages/gateway/src/control/proofs/proof-diagnostics.ts
+++ b/packages/gateway/src/control/proofs/proof-diagnostics.ts
@@ -1,47 +1,48 @@
 /**
- * How proofs came to a host of late, for its log: whether a late one was read late, passed on late, or not taken.
+ * Diagnostics of recently received proofs, for the log: whether a late proof was read late, forwarded late, or not
+ * accepted.
  */
 import type { LogFields } from '@gladespool/observability';
 
-/** What became of the proof in an answer. */
+/** What became of the proof in a reply. */
 export enum ProofOutcome {
   Taken = 'taken',
-  /** The answer held none. */
+  /** The reply carried none. */
   None = 'none',
-  /** The gateway's own documents are not held up to its position. */
+  /** This host does not hold the gateway's own documents up to the proof's position. */
   AheadOfDocuments = 'ahead-of-documents',
 }
 
-/** The latest question of one host and the latest answer. */
+/** The latest request of one host and the latest reply. */
 export class ProofDiagnostics {
-  private askedAt: number | undefined;
-  private answeredAt: number | undefined;
-  private end: ProofOutcome | undefined;
+  private requestedAt: number | undefined;
+  private repliedAt: number | undefined;
+  private outcome: ProofOutcome | undefined;
   private ageMs: number | undefined;
 
-  /** Notes that the host's parent was asked at `now`. */
+  /** Records that a request was sent to the host's parent at `now`. */
   noteRequest(now: number): void {
-    this.askedAt = now;
+    this.requestedAt = now;
   }
 
-  /** Notes an answer at `now`, with the age of its proof as it arrived, milliseconds. */
-  noteReply(now: number, end: ProofOutcome, ageMs?: number): void {
-    this.answeredAt = now;
-    this.end = end;
+  /** Records a reply at `now`, with the age of its proof on arrival, milliseconds. */
+  noteReply(now: number, outcome: ProofOutcome, ageMs?: number): void {
+    this.repliedAt = now;
+    this.outcome = outcome;
     this.ageMs = ageMs;
   }
 
-  /** What is known at `now`. */
+  /** The diagnostics at `now`, as log fields. */
   logFields(now: number): LogFields {
     return {
-      asked_ms_ago: rounded(this.askedAt, now),
-      answered_ms_ago: rounded(this.answeredAt, now),
-      answer: this.end,
+      asked_ms_ago: msSince(this.requestedAt, now),
+      answered_ms_ago: msSince(this.repliedAt, now),
+      answer: this.outcome,
       answer_proof_age_ms: this.ageMs === undefined ? undefined : Math.round(this.ageMs),
     };
   }
 }
 
-function rounded(at: number | undefined, now: number): number | undefined {
+function msSince(at: number | undefined, now: number): number | undefined {
   return at === undefined ? undefined : Math.round(now - at);
 }
--- a/packages/gateway/src/control/proofs/proof-renewer.ts
+++ b/packages/gateway/src/control/proofs/proof-renewer.ts
@@ -1,7 +1,7 @@
 /**
- * Renews this host's proof of who the primaries are, by reading its own entry from the store: the answer
- * shows that the host is listed, and up to which change the documents held have to be complete for
- * their records to be those of the store. Its cost does not grow with the number of hosts.
+ * Renews this host's proof of who the primaries are, by reading its own entry from the store: the reply shows that
+ * the host is listed, and up to which change its documents must be complete for their records to be those of the
+ * store. The cost of a read does not grow with the number of hosts.
  */
 import type { GladespoolError, StorePosition } from '@gladespool/coordination';
 import { isLater, formatStorePosition } from '@gladespool/coordination';
@@ -16,23 +16,23 @@
 import { hostKey, OWN_PREFIX, readOwnDocument } from '../store/store-documents.js';
 import type { StoreView } from '../store/store-view.js';
 
-/** Times of the proofs' renewal. */
+/** Timing of the renewal of proofs. */
 export interface ProofRules {
-  /** Time between two reads, milliseconds: less than a third of a proof's life, so that two may fail. */
+  /** Interval between two reads, milliseconds: less than a third of a proof's lifetime, so that two may fail. */
   readonly intervalMs: number;
-  /** Longest time for one read, milliseconds. */
+  /** Timeout of one read, milliseconds. */
   readonly timeoutMs: number;
-  /** Time for which the watch may bring the changes that a read showed, milliseconds. */
+  /** Time within which the watch must deliver the changes that a read showed, milliseconds. */
   readonly watchLagMs: number;
 }
 
-/** Times in force, for proofs that live 1 s. 60 ms: the watch answers within a few round trips of the store. */
+/** Defaults for proofs valid for 1 s. 60 ms: the watch delivers a change within a few round trips to the store. */
 export const DEFAULT_PROOF_RULES: ProofRules = { intervalMs: 300, timeoutMs: 700, watchLagMs: 60 };
 
-/** Part of a tick by which a read may begin early, milliseconds; one that misses its tick waits for a whole one more. */
+/** Time by which a read may begin early, milliseconds: a read that just misses a tick would wait for the next one. */
 const TICK_SLACK_MS = 5;
 
-/** What the keeper works on. */
+/** Dependencies of the renewer. */
 export interface ProofRenewerOptions {
   readonly self: HostEntry;
   readonly board: GatewayBoard;
@@ -44,13 +44,13 @@
   readonly log: Logger;
 }
 
-/** Reads this host's entry at intervals while that is wanted. */
+/** Reads this host's entry at intervals, and holds the latest proof. */
 export class ProofRenewer {
-  /** Newest proof that may be passed on; undefined before the first. */
+  /** Latest proof that may be forwarded; undefined before the first. */
   forwardable: ForwardableProof | undefined;
-  /** Whether the latest read got no answer. */
+  /** Whether the latest read got no reply. */
   failing = false;
-  /** Local time at which the hosts on the board surely were the listed ones; -Infinity before. */
+  /** Latest local time at which the hosts on the board are known to have been the listed ones; -Infinity before. */
   listedAt = Number.NEGATIVE_INFINITY;
   private reading = false;
   private lastSentAt = Number.NEGATIVE_INFINITY;
@@ -58,9 +58,9 @@
   constructor(private readonly options: ProofRenewerOptions) {}
 
   /**
-   * Starts a read if one is due at `now`, reads being `pace` times farther apart than usual.
+   * Starts a read if one is due at `now`; the interval between reads is multiplied by `pace`.
    *
-   * @returns whether it did
+   * @returns whether a read was started
    */
   tick(now: number, pace = 1): boolean {
     const isDue = now - this.lastSentAt >= this.options.rules.intervalMs * pace - TICK_SLACK_MS;
@@ -70,9 +70,9 @@
   }
 
   /**
-   * Reads at once; resolves when this host holds every document of its own kind that the store had.
+   * Reads at once; resolves when this host holds every one of the gateway's own documents that the store had.
    *
-   * @returns false when the store did not answer
+   * @returns false when the store did not reply
    */
   async read(): Promise<boolean> {
     this.reading = true;
@@ -87,7 +87,7 @@
     return Number.isFinite(this.lastSentAt) ? Math.round(now - this.lastSentAt) : undefined;
   }
 
-  /** The newest list of hosts that this host knows; undefined before the first. */
+  /** The latest list of hosts that this host knows; undefined before the first. */
   get latestHostList(): HostList | undefined {
     if (!Number.isFinite(this.listedAt)) return undefined;
     const { board, view } = this.options;
@@ -97,31 +97,31 @@
     return { readAt: this.listedAt, position: view.ownPosition, hosts, listed };
   }
 
-  /** Notes that a majority of `list` renewed the proof, by a round that began at `sentAt`. */
+  /** Accepts a renewal by a majority of `list`, in a round that began at `sentAt`. */
   acceptPeerRenewal(sentAt: number, { position }: HostList): void {
     this.acceptProof({ sentAt, position, isFromStore: false });
   }
 
-  /** Takes a proof, be it passed on; this host's own documents are complete up to its position. */
+  /** Accepts a proof, read or forwarded; this host's own documents must be complete up to its position. */
   acceptProof(proof: ForwardableProof): void {
     const { board, self, view } = this.options;
     const { sentAt, isFromStore } = proof;
-    // A store that came back from a copy may name a primary that another one has followed.
+    // A store restored from a backup may name a primary that has been replaced since.
     if (isFromStore && !view.isEraSettled) return;
     if (isFromStore) this.listedAt = Math.max(this.listedAt, sentAt);
     if (sentAt > (this.forwardable?.sentAt ?? Number.NEGATIVE_INFINITY)) this.forwardable = proof;
     if (this.covers(proof, self.host, self.incarnation)) board.recordProof(sentAt);
   }
 
-  /** The newest proof that a process may hold; undefined if it was not listed then. */
+  /** The latest proof, if the given process was listed then; otherwise undefined. */
   forwardableTo(host: string, incarnation: number): ForwardableProof | undefined {
-    const { forwardable: passable } = this;
-    return passable !== undefined && this.covers(passable, host, incarnation)
-      ? passable
+    const { forwardable } = this;
+    return forwardable !== undefined && this.covers(forwardable, host, incarnation)
+      ? forwardable
       : undefined;
   }
 
-  /** A proof covers only hosts that were listed then: whoever changes a primary asks just those. */
+  /** A proof covers only processes that were listed at its position: a change of a primary revokes just those. */
   private covers({ position }: ForwardableProof, host: string, incarnation: number): boolean {
     return this.options.view.wasListed(host, incarnation, position);
   }
@@ -132,14 +132,14 @@
     this.lastSentAt = sentAt;
     const entry = await store.read(hostKey(self.host), StorePurpose.Proof, rules.timeoutMs);
     if (entry.isErr()) return this.noteFailure(entry.error);
-    if (this.isOwn(entry.value)) return this.complete(entry.value.position, sentAt);
-    // A host that was taken off the list learns of it first, since it lists itself only if it is not listed.
+    if (this.isOwn(entry.value)) return this.acceptRead(entry.value.position, sentAt);
+    // A removed host has to see its removal first, since the registrar registers only hosts that are not listed.
     if (this.options.registrar.isListed) await this.readDocuments();
     void this.register();
     return true;
   }
 
-  /** Whether an entry read is that of this very process. */
+  /** Whether the entry is that of this very process. */
   private isOwn({ item }: StoreEntry): boolean {
     if (item === undefined) return false;
     const reading = readOwnDocument(item.key, item.value);
@@ -147,8 +147,8 @@
     return reading.document.entry.incarnation === this.options.self.incarnation;
   }
 
-  /** Takes a read that showed `position` of the store, once the documents up to there are held. */
-  private async complete(position: StorePosition, sentAt: number): Promise<boolean> {
+  /** Accepts a read that showed `position` of the store, once this host holds the documents up to there. */
+  private async acceptRead(position: StorePosition, sentAt: number): Promise<boolean> {
     const { view, follower, rules } = this.options;
     if (isLater(position, view.ownPosition) && follower.isActive) {
       await view.waitForOwnDocuments(position, rules.watchLagMs);
@@ -161,7 +161,7 @@
     return true;
   }
 
-  /** Reads the gateway's own documents, since no watch has brought what has changed of them. */
+  /** Reads the gateway's own documents, for changes that no watch has delivered. */
   private async readDocuments(): Promise<boolean> {
     const { store, view, rules } = this.options;
     const sentAt = performance.now();
@@ -182,8 +182,8 @@
   }
 
   /**
-   * Lists this host unless it is listed. Where nothing else has changed since this host read the store, the
-   * answer is a proof as well: callers of a host that restarts wait for its first one.
+   * Registers this host unless it is listed. If nothing else has changed since this host read the store, the
+   * reply also serves as a proof: callers of a restarting host wait for its first one.
    */
   async register(): Promise<void> {
     const { registrar, view } = this.options;
@@ -195,14 +195,14 @@
     const { item, sentAt } = registration;
     const { position } = item;
     const before = { ...position, revision: position.revision - 1 };
-    const isAllHeld = !isLater(before, view.ownPosition);
+    const isComplete = !isLater(before, view.ownPosition);
     view.applyItems([item], performance.now());
-    if (!isAllHeld) return;
+    if (!isComplete) return;
     view.markOwnComplete(position);
     this.acceptProof({ sentAt, position, isFromStore: true });
   }
 
-  /** A watch that has not brought a change within an interval has lost it; without one all is read. */
+  /** Resyncs a watch that has not delivered a change within half an interval; without a watch reads everything. */
   private checkWatch(position: StorePosition): void {
     const { view, follower, log, rules } = this.options;
     if (!isLater(position, view.position)) return;
--- a/packages/gateway/src/control/proofs/sync-responder.ts
+++ b/packages/gateway/src/control/proofs/sync-responder.ts
@@ -1,7 +1,7 @@
 /**
- * Answers other hosts that ask for proofs and news of the store. A question may wait here until this host
- * has a newer proof or has heard of a change, so that each proof is passed on once and at once, however
- * many hosts ask.
+ * Replies to other hosts' requests for proofs and updates of the store. A request may wait here (long poll) until
+ * this host has a newer proof or knows of a change, so that each proof is forwarded at once, and once per
+ * requester.
  */
 import { isLater } from '@gladespool/coordination';
 import type { PeerHandler, PeerLink } from '@gladespool/peers';
@@ -12,103 +12,104 @@
 import type { ProofRenewer } from './proof-renewer.js';
 import type { StoreView } from '../store/store-view.js';
 
-type SyncAsk = FrameOf<FrameKind.SyncRequest>;
+type SyncRequest = FrameOf<FrameKind.SyncRequest>;
 type SyncReply = FrameOf<FrameKind.SyncReply>;
 
 /**
- * Difference in age from which two proofs are taken for different ones, milliseconds: far above the way between
- * two hosts, by which the age of the same proof seems to differ, and below the time between two reads.
+ * Difference in age from which two proofs are considered different, milliseconds: far above the network latency
+ * between two hosts, by which the ages of the same proof differ, and below the interval between two reads.
  */
-const MISSED_PROOF_MS = 100;
+const MIN_PROOF_AGE_GAP_MS = 100;
 
-/** What the answers are made of. */
+/** Dependencies of the responder. */
 export interface SyncResponderOptions {
   readonly board: GatewayBoard;
   readonly view: StoreView;
   readonly proofs: Pick<ProofRenewer, 'forwardableTo'>;
 }
 
-/** A question that waits. */
-interface HeldAsk {
+/** A request that waits for a reply. */
+interface PendingRequest {
   readonly link: PeerLink;
-  readonly ask: SyncAsk;
+  readonly request: SyncRequest;
   readonly arrivedAt: number;
 }
 
-/** Answering side of one host. */
+/** Responding side of the sync protocol. */
 export class SyncResponder implements PeerHandler {
-  private held: HeldAsk[] = [];
+  private pending: PendingRequest[] = [];
 
   constructor(private readonly options: SyncResponderOptions) {
     const { board, view } = options;
     board.onChange(BoardSection.Proof, () => {
-      this.answerWhere(() => true);
+      this.replyWhere(() => true);
     });
-    // A changed record is awaited by callers; other news wait for the next tick, so that many go together.
+    // Callers wait for a changed record; other updates wait for the next tick, so that they are sent in batches.
     board.onChange(BoardSection.Records, () => {
-      this.answerWhere(({ ask }) => isLater(view.newest, ask.heard));
+      this.replyWhere(({ request }) => isLater(view.newest, request.heard));
     });
   }
 
-  /** Answers at `now` what has waited long enough or asks for news that there are. */
+  /** Replies at `now` to requests that have waited long enough or for which there are updates. */
   tick(now: number): void {
     const { view } = this.options;
-    this.answerWhere(
-      ({ ask, arrivedAt }) => isLater(view.newest, ask.heard) || now - arrivedAt >= ask.waitMs,
+    this.replyWhere(
+      ({ request, arrivedAt }) =>
+        isLater(view.newest, request.heard) || now - arrivedAt >= request.waitMs,
     );
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
     if (frame.kind !== FrameKind.SyncRequest) return;
-    const held = { link, ask: frame, arrivedAt: performance.now() };
-    if (frame.waitMs > 0 && !this.hasNewerProof(held)) this.held.push(held);
-    else this.answer(held);
+    const entry = { link, request: frame, arrivedAt: performance.now() };
+    if (frame.waitMs > 0 && !this.hasNewerProof(entry)) this.pending.push(entry);
+    else this.sendReply(entry);
   }
 
   onLost(link: PeerLink): void {
-    this.held = this.held.filter((held) => held.link !== link);
+    this.pending = this.pending.filter((entry) => entry.link !== link);
   }
 
-  /** Whether the asker has missed the proof that this host holds already. */
-  private hasNewerProof({ ask, arrivedAt }: HeldAsk): boolean {
-    const proof = this.options.proofs.forwardableTo(ask.host, ask.incarnation);
+  /** Whether this host already holds a newer proof than the requester. */
+  private hasNewerProof({ request, arrivedAt }: PendingRequest): boolean {
+    const proof = this.options.proofs.forwardableTo(request.host, request.incarnation);
     if (proof === undefined) return false;
-    if (ask.proofAgeMs === undefined) return true;
-    return proof.sentAt > arrivedAt - ask.proofAgeMs + MISSED_PROOF_MS;
+    if (request.proofAgeMs === undefined) return true;
+    return proof.sentAt > arrivedAt - request.proofAgeMs + MIN_PROOF_AGE_GAP_MS;
   }
 
-  private answerWhere(isDue: (held: HeldAsk) => boolean): void {
-    const due = this.held.filter(isDue);
+  private replyWhere(isDue: (entry: PendingRequest) => boolean): void {
+    const due = this.pending.filter(isDue);
     if (due.length === 0) return;
-    this.held = this.held.filter((held) => !due.includes(held));
-    for (const held of due) this.answer(held);
+    this.pending = this.pending.filter((entry) => !due.includes(entry));
+    for (const entry of due) this.sendReply(entry);
   }
 
-  private answer({ link, ask, arrivedAt }: HeldAsk): void {
+  private sendReply({ link, request, arrivedAt }: PendingRequest): void {
     const { view } = this.options;
     const reply: SyncReply = {
       kind: FrameKind.SyncReply,
-      id: ask.id,
+      id: request.id,
       position: view.position,
       newest: view.newest,
       documentsPosition: view.documentsPosition,
     };
-    const own = view.ownChangesSince(ask.ownPosition);
+    const own = view.ownChangesSince(request.ownPosition);
     if (own !== undefined) {
       reply.own = { ...own, items: [...own.items], removed: [...own.removed] };
     }
     const documentsAgeMs = arrivedAt - view.lastCurrentAt;
     if (Number.isFinite(documentsAgeMs)) reply.documentsAgeMs = documentsAgeMs;
-    const proof = this.proofFor(ask, arrivedAt);
-    // The word of other hosts counts only together with the claims that they told of.
+    const proof = this.proofFor(request, arrivedAt);
+    // A proof by other hosts is valid only together with the claims that they reported.
     const isComplete = own !== undefined || proof?.isFromStore === true;
     if (proof !== undefined && isComplete) reply.proof = proof;
     link.send(reply);
   }
 
-  /** The proof that may be passed on to the asker; undefined if it was not listed then. */
-  private proofFor(ask: SyncAsk, arrivedAt: number): SyncReply['proof'] {
-    const proof = this.options.proofs.forwardableTo(ask.host, ask.incarnation);
+  /** The proof that may be forwarded to the requester; undefined if the requester was not listed then. */
+  private proofFor(request: SyncRequest, arrivedAt: number): SyncReply['proof'] {
+    const proof = this.options.proofs.forwardableTo(request.host, request.incarnation);
     if (proof === undefined) return undefined;
     const { sentAt, position, isFromStore } = proof;
     return { ageMs: arrivedAt - sentAt, position, isFromStore };
--- a/packages/gateway/src/control/proofs/sync-service.ts
+++ b/packages/gateway/src/control/proofs/sync-service.ts
@@ -1,8 +1,9 @@
 /**
- * Keeps this host's proof and documents up to date by way of other hosts: one host of the deployment reads
- * the store, the first host of each zone asks that one, and the others ask the first host of their zone.
- * Questions wait at the other host until it has something newer. Whoever loses the store asks any host
- * that still has it, and hosts stand in for those before them in order.
+ * Keeps this host's proof and documents up to date through other hosts: one host of the deployment reads the
+ * store, the first host of each zone polls that one, and the others poll the first host of their zone. Requests
+ * wait at the other host until it has something newer (long poll). A host whose source fails sends requests to
+ * others that may still reach the store, and each host reads the store itself if those before it in the relay
+ * order fail to keep it up to date.
  */
 import type { AzId, EventLoopMonitor } from '@gladespool/coordination';
 import { hostId, isLater, laterOf, STORE_START, fallbackZones } from '@gladespool/coordination';
@@ -22,27 +23,27 @@
 
 type SyncReply = FrameOf<FrameKind.SyncReply>;
 
-/** Times of the passing on. */
+/** Timing of the synchronization. */
 export interface SyncRules {
-  /** Time for which a question waits for news at the host asked, milliseconds. */
+  /** Time for which a request waits for updates at the other host, milliseconds. */
   readonly waitMs: number;
-  /** Time between two questions while nothing comes of them, milliseconds. */
+  /** Interval between two rounds of fallback requests while this host is out of date, milliseconds. */
   readonly intervalMs: number;
-  /** Longest time for an answer that need not wait, milliseconds. */
+  /** Timeout of a request that does not wait; added to `waitMs` for one that does, milliseconds. */
   readonly timeoutMs: number;
-  /** Age of proof or documents from which a host also asks others, milliseconds. */
+  /** Age of proof or documents from which a host also sends requests to others, milliseconds. */
   readonly staleMs: number;
-  /** Added for each place in a zone's order before a host reads the store itself, milliseconds. */
+  /** Delay per rank in a zone's relay order before a host reads the store itself, milliseconds. */
   readonly rankStepMs: number;
-  /** Time for which a host that had to read the store goes on doing so, milliseconds. */
+  /** Time for which a host that had to read the store continues to do so, milliseconds. */
   readonly fallbackReadMs: number;
 }
 
 /**
- * 400 ms: a third more than the time between two reads of the store, so that an answer mostly brings the
- * next one. Usual ages reach 0.35 s: 300 ms between two reads, and the way over two hosts. 500 ms: half of
- * a proof's life is left then. Hosts that read the store themselves do so one after the other, since
- * every call is paid for. 3 s: a host that was killed is back by then.
+ * 400 ms: a third more than the interval between two reads of the store, so that a reply usually carries the next
+ * proof. Usual ages reach 0.35 s: 300 ms between two reads, and the latency of two hops. 500 ms: half of a proof's
+ * lifetime is left then. 50 ms per rank: hosts read the store themselves one after the other, since every call to
+ * it is billed. 3 s: a host that was killed has restarted by then.
  */
 export const DEFAULT_SYNC_RULES: SyncRules = {
   waitMs: 400,
@@ -53,16 +54,16 @@
   fallbackReadMs: 3000,
 };
 
-/** Hosts after the first that go on reading the store once they had to; later ones read it now and then. */
-const STAND_INS = 2;
-/** Part of the usual time between two reads after which the store is read again for hosts that are new on the list. */
+/** Number of hosts after the first that continue to read the store once they had to; later ones read it less often. */
+const FALLBACK_READERS = 2;
+/** Factor of the interval between two reads after a change of the host list: new hosts wait for their first proof. */
 const HURRIED_PACE = 0.2;
-/** Added to the age that documents may have, milliseconds: they are fetched apart, unlike proofs. */
-const FETCH_MS = 1000;
-/** Hosts of the own zone that a host asks while it is stale, the first ones in order. */
-const RELAYS_ASKED = 3;
+/** Added to the age that documents may have, milliseconds: they are fetched separately, unlike proofs. */
+const DOCUMENTS_EXTRA_AGE_MS = 1000;
+/** Number of hosts of its own zone to which a stale host sends requests, the first ones in the relay order. */
+const FALLBACK_RELAYS = 3;
 
-/** What the service works on. */
+/** Dependencies of the service. */
 export interface SyncServiceOptions {
   readonly self: HostEntry;
   readonly board: GatewayBoard;
@@ -73,83 +74,83 @@
   readonly documents: DocumentExchange;
   readonly calls: PeerCalls;
   readonly loop: Pick<EventLoopMonitor, 'pausedMsSince'>;
-  /** Hosts to ask before any is known. */
+  /** Addresses of hosts to contact before any host is known. */
   readonly seeds: readonly PeerAddress[];
   readonly rules: SyncRules;
   readonly log: Logger;
 }
 
-/** Asking side of one host. */
+/** Requesting side of the sync protocol. */
 export class SyncService implements PeerHandler {
-  private lastAskAt = Number.NEGATIVE_INFINITY;
-  /** Until when this host reads the store in place of those before it. */
-  private standInUntil = Number.NEGATIVE_INFINITY;
-  /** Number of rounds of questions while stale; hosts of other zones are asked in turn by it. */
+  private lastRoundAt = Number.NEGATIVE_INFINITY;
+  /** Local time until which this host reads the store in place of those before it. */
+  private fallbackReadUntil = Number.NEGATIVE_INFINITY;
+  /** Round-robin counter over hosts of other zones, seeds and hosts to fetch the configuration from. */
   private turn = 0;
-  /** The host whose answer last made this one current. */
-  private helpful: PeerAddress | undefined;
-  /** Position of the latest change that any answer told of. */
-  private heard = STORE_START;
-  /** Whether a question waits at this host's parent. */
-  private waiting = false;
-  /** Whether the list of hosts has changed since the latest read of this host began. */
+  /** The host whose reply last brought this one up to date. */
+  private lastHelper: PeerAddress | undefined;
+  /** Position of the latest change that any reply reported. */
+  private newestKnown = STORE_START;
+  /** Whether a request waits at this host's parent. */
+  private isWaiting = false;
+  /** Whether the host list has changed since this host's latest read began. */
   private listChanged = false;
   private stopped = false;
-  /** Local time before which no other host is asked for its configuration. */
+  /** Local time before which the configuration is not requested from another host. */
   private fetchNotBefore = Number.NEGATIVE_INFINITY;
   private readonly startedAt = performance.now();
-  private readonly trail = new ProofDiagnostics();
-  /** Whether the proof was late when it was last looked at. */
+  private readonly diagnostics = new ProofDiagnostics();
+  /** Whether the proof or the documents were stale at the latest check. */
   private wasLate = false;
 
   constructor(private readonly options: SyncServiceOptions) {
-    // Hosts that are new on the list hold no proof before there is one that covers them.
+    // Newly listed hosts hold no proof before there is one that covers them.
     options.board.onChange(BoardSection.Hosts, () => {
       this.listChanged = true;
-      this.keepUp(performance.now());
+      this.syncFromParentOrStore(performance.now());
     });
   }
 
-  /** Does this host's part at `now`. */
+  /** Registers this host if necessary, and polls its parent or reads the store, at `now`. */
   tick(now: number): void {
-    if (!this.isListed) void this.enlist();
-    this.keepUp(now);
+    if (!this.isListed) void this.register();
+    this.syncFromParentOrStore(now);
     if (this.options.view.awaitsCatalog && now >= this.fetchNotBefore) void this.fetchCatalog(now);
   }
 
-  /** Reads the store itself and asks further hosts if news are late at `now`. */
+  /** Reads the store itself and sends requests to further hosts if updates are late at `now`. */
   syncFromFallbacks(now: number): void {
     const { proofs, rules } = this.options;
     const { isReader } = this;
     this.noteLateness(now);
-    if (!isReader && this.isListed) this.standIn(now);
+    if (!isReader && this.isListed) this.readAsFallback(now);
     const isLate = this.isStale(now) || (isReader && proofs.failing);
-    if (!isLate || now - this.lastAskAt < rules.intervalMs) return;
-    this.lastAskAt = now;
-    for (const peer of this.helpers(now)) void this.ask(peer, 0);
+    if (!isLate || now - this.lastRoundAt < rules.intervalMs) return;
+    this.lastRoundAt = now;
+    for (const peer of this.fallbackPeers(now)) void this.request(peer, 0);
   }
 
-  /** Reads the store once, and lists this host with what it has read. */
-  private async enlist(): Promise<void> {
+  /** Reads the store once, and registers this host based on what it has read. */
+  private async register(): Promise<void> {
     const { proofs, follower, view } = this.options;
     if (!view.hasLoaded) await follower.readOnce();
     if (view.hasLoaded) await proofs.register();
   }
 
-  /** Asks the other hosts in turn for the configuration that they knew. */
+  /** Requests the configuration from the other hosts in turn. */
   private async fetchCatalog(now: number): Promise<void> {
     const { board, documents, rules } = this.options;
     this.fetchNotBefore = now + rules.waitMs;
     this.turn += 1;
-    const peer = inTurn(
+    const peer = roundRobin(
       [...board.hosts.values()].filter(({ host }) => host !== board.host),
       this.turn,
     );
     if (peer !== undefined) await documents.fetch(peer, STORE_START);
   }
 
-  /** Reads the store for all others, or asks the parent, whichever is this host's part. */
-  private keepUp(now: number): void {
+  /** Reads the store if this host is the reader for all others; otherwise polls the parent. */
+  private syncFromParentOrStore(now: number): void {
     const { proofs, follower, order } = this.options;
     const { isReader } = this;
     const { parent } = order;
@@ -158,7 +159,7 @@
       if (proofs.tick(now, this.listChanged ? HURRIED_PACE : 1)) this.listChanged = false;
       return;
     }
-    if (parent !== undefined && !this.waiting) void this.askParent(parent);
+    if (parent !== undefined && !this.isWaiting) void this.pollParent(parent);
   }
 
   private get isReader(): boolean {
@@ -170,7 +171,7 @@
     return board.hosts.get(self.host)?.incarnation === self.incarnation;
   }
 
-  /** Asks no more. */
+  /** Stops sending requests. */
   stop(): void {
     this.stopped = true;
   }
@@ -181,18 +182,18 @@
   }
 
   onLost(): void {
-    // The question that was lost with the link ends without an answer; the next tick asks again.
+    // A request on a lost link ends without a reply; the next tick sends another.
   }
 
   /**
-   * Whether documents or proof have not been renewed for too long. A proof can be renewed by hosts that
-   * don't reach the store either, so it says nothing about the documents.
+   * Whether documents or proof have not been renewed for too long. Both are checked, since a proof can be renewed
+   * by hosts that do not reach the store either, and shows nothing about the documents.
    */
   private isStale(now: number): boolean {
     return this.ageAt(now) > this.options.rules.staleMs;
   }
 
-  /** Tells when this host's proof becomes late, and how its latest ones came. */
+  /** Logs when this host's proof or documents become stale, with how the latest proofs arrived. */
   private noteLateness(now: number): void {
     const { board, view, proofs, log } = this.options;
     const isLate = this.isStale(now);
@@ -204,117 +205,118 @@
       documents_age_ms: Math.round(now - view.lastCurrentAt),
       read_ms_ago: proofs.msSinceRead(now),
       parent: this.options.order.parent?.host,
-      ...this.trail.logFields(now),
+      ...this.diagnostics.logFields(now),
     });
   }
 
-  /** Age of what is older, proof or documents, by the time in which this process ran. */
+  /** Age of the older of proof and documents, not counting pauses of this process, milliseconds. */
   private ageAt(now: number): number {
     const { board, view, loop } = this.options;
-    const since = Math.min(board.latestProofAt, view.lastCurrentAt + FETCH_MS);
+    const since = Math.min(board.latestProofAt, view.lastCurrentAt + DOCUMENTS_EXTRA_AGE_MS);
     return now - since - loop.pausedMsSince(since);
   }
 
-  /** The same, where a host that has just started is not late yet: those before it may still help. */
+  /** The same, at most the time since this host started: those before it may still bring it up to date. */
   private latenessAt(now: number): number {
     return Math.min(this.ageAt(now), now - this.startedAt);
   }
 
   /**
-   * Reads the store where those before this host in order don't keep it up to date; the first ones go on
-   * for a while once they had to. The later a host in order, the less often it reads: where the store
-   * can't be reached, a whole zone would call it in vain.
+   * Reads the store if the hosts before this one in the relay order do not keep it up to date; the first few
+   * continue for a while once they had to. The later a host is in the order, the less often it reads: if the store
+   * is unreachable, otherwise the whole zone would send it requests in vain.
    */
-  private standIn(now: number): void {
+  private readAsFallback(now: number): void {
     const { order, proofs, rules } = this.options;
     const { rank } = order;
     const isLate = this.latenessAt(now) > rules.staleMs + rank * rules.rankStepMs;
-    if (isLate && rank <= STAND_INS) this.standInUntil = now + rules.fallbackReadMs;
-    if (isLate || now < this.standInUntil) proofs.tick(now, Math.max(1, rank - STAND_INS));
+    if (isLate && rank <= FALLBACK_READERS) this.fallbackReadUntil = now + rules.fallbackReadMs;
+    if (isLate || now < this.fallbackReadUntil)
+      proofs.tick(now, Math.max(1, rank - FALLBACK_READERS));
   }
 
-  /** The first hosts of the zone, the host that helped last, and one of another zone, each in turn. */
-  private helpers(now: number): readonly PeerAddress[] {
+  /** The first hosts of the zone, the last helper, a seed if no other host is known, and a host of a zone in turn. */
+  private fallbackPeers(now: number): readonly PeerAddress[] {
     const { board, seeds, order } = this.options;
     this.turn += 1;
     const others = order.hosts.filter((entry) => entry.host !== board.host);
-    const all = [...new Set([...board.hosts.values()].map((entry) => entry.az))];
-    const zones = fallbackZones(board.az, all, board.topology, this.ageAt(now));
-    const az = inTurn(zones, this.turn);
-    const seed = board.hosts.size > 1 ? undefined : inTurn(seeds, this.turn);
-    const helpful = this.helpfulIn(zones);
-    return distinct([...others.slice(0, RELAYS_ASKED), helpful, seed, this.pick(az)]);
+    const zonesOfHosts = [...new Set([...board.hosts.values()].map((entry) => entry.az))];
+    const zones = fallbackZones(board.az, zonesOfHosts, board.topology, this.ageAt(now));
+    const az = roundRobin(zones, this.turn);
+    const seed = board.hosts.size > 1 ? undefined : roundRobin(seeds, this.turn);
+    const lastHelper = this.lastHelperIn(zones);
+    return distinct([...others.slice(0, FALLBACK_RELAYS), lastHelper, seed, this.nextHostOf(az)]);
   }
 
-  /** The host that helped last, unless it is known to stand in none of `zones`. */
-  private helpfulIn(zones: readonly AzId[]): PeerAddress | undefined {
-    const { helpful } = this;
-    if (helpful === undefined) return undefined;
-    const az = this.options.board.hosts.get(hostId(helpful.host))?.az;
-    return az === undefined || zones.includes(az) ? helpful : undefined;
+  /** The host that helped last, unless it is known to be in none of `zones`. */
+  private lastHelperIn(zones: readonly AzId[]): PeerAddress | undefined {
+    const { lastHelper } = this;
+    if (lastHelper === undefined) return undefined;
+    const az = this.options.board.hosts.get(hostId(lastHelper.host))?.az;
+    return az === undefined || zones.includes(az) ? lastHelper : undefined;
   }
 
-  private pick(az: AzId | undefined): HostEntry | undefined {
+  private nextHostOf(az: AzId | undefined): HostEntry | undefined {
     const { board } = this.options;
     const others = [...board.hosts.values()].filter(
       (entry) => entry.az === az && entry.host !== board.host,
     );
-    return inTurn(others, this.turn);
+    return roundRobin(others, this.turn);
   }
 
-  /** Asks the parent for what is newer, and again once it has answered or the question has waited in vain. */
-  private async askParent(parent: PeerAddress): Promise<void> {
+  /** Polls the parent for updates, again and again as long as replies carry updates or the full wait has passed. */
+  private async pollParent(parent: PeerAddress): Promise<void> {
     const { waitMs } = this.options.rules;
-    this.waiting = true;
+    this.isWaiting = true;
     let next: PeerAddress | undefined = parent;
     while (next !== undefined) {
-      const askedAt = performance.now();
-      const heardBefore = this.heard;
-      const renewed = await this.ask(next, waitMs);
-      const hasNews = renewed || isLater(this.heard, heardBefore);
-      const hasWaited = performance.now() - askedAt >= waitMs;
-      next = hasNews || hasWaited ? this.parentToAsk() : undefined;
+      const requestedAt = performance.now();
+      const knownBefore = this.newestKnown;
+      const renewed = await this.request(next, waitMs);
+      const hasUpdates = renewed || isLater(this.newestKnown, knownBefore);
+      const hasWaited = performance.now() - requestedAt >= waitMs;
+      next = hasUpdates || hasWaited ? this.parentToPoll() : undefined;
     }
-    this.waiting = false;
+    this.isWaiting = false;
   }
 
-  private parentToAsk(): PeerAddress | undefined {
+  private parentToPoll(): PeerAddress | undefined {
     return this.stopped ? undefined : this.options.order.parent;
   }
 
-  /** @returns whether an answer came that renewed this host's proof */
-  private async ask(peer: PeerAddress, waitMs: number): Promise<boolean> {
+  /** @returns whether a reply renewed this host's proof */
+  private async request(peer: PeerAddress, waitMs: number): Promise<boolean> {
     const { self, view, calls, board, rules } = this.options;
     const sentAt = performance.now();
     const { host, incarnation } = self;
     const { latestProofAt: provenSince } = board;
-    if (waitMs > 0) this.trail.noteRequest(sentAt);
-    const question = {
+    if (waitMs > 0) this.diagnostics.noteRequest(sentAt);
+    const request = {
       host,
       incarnation,
       ownPosition: view.ownPosition,
-      heard: laterOf(this.heard, view.newest),
+      heard: laterOf(this.newestKnown, view.newest),
       waitMs,
       ...(Number.isFinite(provenSince) && { proofAgeMs: sentAt - provenSince }),
     };
     const result = await calls.request(
       peer,
-      (id) => ({ kind: FrameKind.SyncRequest, id, ...question }),
+      (id) => ({ kind: FrameKind.SyncRequest, id, ...request }),
       waitMs + rules.timeoutMs,
       { longPollMs: waitMs },
     );
-    // Who does not answer is noted by the calls themselves.
+    // `PeerCalls` keeps track of unresponsive hosts itself.
     if (result.isErr() || result.value.kind !== FrameKind.SyncReply || this.stopped) return false;
-    this.take(result.value, peer, sentAt);
-    if (!this.isStale(performance.now())) this.helpful = peer;
+    this.acceptReply(result.value, peer, sentAt);
+    if (!this.isStale(performance.now())) this.lastHelper = peer;
     return board.latestProofAt > provenSince;
   }
 
-  /** Takes the answer to a question that was sent at `sentAt`. */
-  private take(reply: SyncReply, peer: PeerAddress, sentAt: number): void {
+  /** Applies the reply to a request that was sent at `sentAt`. */
+  private acceptReply(reply: SyncReply, peer: PeerAddress, sentAt: number): void {
     const { view, documents } = this.options;
     const { own, proof, documentsAgeMs } = reply;
-    this.heard = laterOf(this.heard, reply.newest);
+    this.newestKnown = laterOf(this.newestKnown, reply.newest);
     if (own !== undefined) view.applyOwnChanges(own, performance.now());
     if (own !== undefined && !isLater(reply.documentsPosition, view.position)) {
       view.markOnlyOwnChanged(reply.position);
@@ -323,28 +325,28 @@
     }
     const isComplete = !isLater(reply.position, view.position);
     if (isComplete && documentsAgeMs !== undefined) view.markCurrent(sentAt - documentsAgeMs);
-    // Questions that wait here are answered as the proof is taken, and their answers tell how old the documents are.
-    if (proof === undefined) this.trail.noteReply(performance.now(), ProofOutcome.None);
-    else this.takeProof(proof, sentAt);
+    // Accepting the proof triggers the replies to requests that wait here; those report the age of the documents.
+    if (proof === undefined) this.diagnostics.noteReply(performance.now(), ProofOutcome.None);
+    else this.acceptProof(proof, sentAt);
   }
 
-  /** Takes the proof in the answer to a question that was sent at `askedAt`. */
-  private takeProof(proof: NonNullable<SyncReply['proof']>, askedAt: number): void {
+  /** Accepts the proof in the reply to a request that was sent at `askedAt`. */
+  private acceptProof(proof: NonNullable<SyncReply['proof']>, requestedAt: number): void {
     const { view, proofs } = this.options;
     const { ageMs, position, isFromStore } = proof;
-    // The age counts from the arrival of the question, which was not before its sending.
-    const sentAt = askedAt - ageMs;
+    // The age counts from the arrival of the request, which was not before its sending.
+    const sentAt = requestedAt - ageMs;
     const now = performance.now();
     if (isLater(position, view.ownPosition)) {
-      this.trail.noteReply(now, ProofOutcome.AheadOfDocuments, now - sentAt);
+      this.diagnostics.noteReply(now, ProofOutcome.AheadOfDocuments, now - sentAt);
       return;
     }
-    this.trail.noteReply(now, ProofOutcome.Taken, now - sentAt);
+    this.diagnostics.noteReply(now, ProofOutcome.Taken, now - sentAt);
     proofs.acceptProof({ sentAt, position, isFromStore });
   }
 }
 
-function inTurn<Value>(values: readonly Value[], turn: number): Value | undefined {
+function roundRobin<Value>(values: readonly Value[], turn: number): Value | undefined {
   return values[turn % Math.max(1, values.length)];
 }
 
