--- a/packages/gateway/src/control/control-plane.ts
+++ b/packages/gateway/src/control/control-plane.ts
@@ -1,5 +1,5 @@
 /**
- * The control side of a host: store, proofs, other hosts and promotions, driven by one timer.
+ * The control plane of a host: store, proofs, other hosts and promotions, driven by one timer.
  */
 import { connect } from 'node:net';
 import type { GroupId } from '@gladespool/coordination';
@@ -39,7 +39,7 @@
 import { SyncService } from './proofs/sync-service.js';
 import type { WriteHolds } from '../knowledge/write-holds.js';
 
-/** What the control side is made of. */
+/** Dependencies of the control plane. */
 export interface ControlPlaneOptions {
   readonly self: HostEntry;
   readonly board: GatewayBoard;
@@ -57,12 +57,12 @@
   readonly metrics: HostMetrics;
 }
 
-/** Time between two looks at what is due, milliseconds. */
+/** Interval of the timer, milliseconds. */
 const TICK_MS = 100;
-/** Longest time for the handshake of a link between hosts, milliseconds. */
+/** Timeout of the handshake of a link between hosts, milliseconds. */
 const HANDSHAKE_TIMEOUT_MS = 1000;
 
-/** Control side of one host. */
+/** Control plane of one host. */
 export class ControlPlane {
   readonly network: PeerNetwork;
   readonly calls: PeerCalls;
@@ -73,11 +73,11 @@
   private readonly follower: StoreFollower;
   private readonly registrar: HostRegistrar;
   private readonly proofs: ProofRenewer;
-  private readonly founder: InitialRecordWriter;
+  private readonly initialRecords: InitialRecordWriter;
   private readonly documents: DocumentExchange;
   private readonly round: HostRound;
   private readonly sync: SyncService;
-  private readonly answers: SyncResponder;
+  private readonly responder: SyncResponder;
   private readonly renewer: PeerProofRenewer;
   private readonly retirer: HostRetirer;
   private readonly opener: EraOpener;
@@ -103,7 +103,7 @@
     this.follower = this.createFollower();
     this.registrar = new HostRegistrar(self, board, this.store, this.log);
     this.proofs = this.createProofs();
-    this.founder = new InitialRecordWriter({
+    this.initialRecords = new InitialRecordWriter({
       board,
       store: this.store,
       view: this.view,
@@ -115,19 +115,19 @@
     const { view, calls, round, log } = this;
     this.documents = new DocumentExchange({ view, calls, log });
     this.sync = this.createSync();
-    this.answers = new SyncResponder({ board, view, proofs: this.proofs });
+    this.responder = new SyncResponder({ board, view, proofs: this.proofs });
     this.renewer = this.createRenewer();
     this.retirer = this.createRetirer();
     this.opener = this.createOpener();
     this.probe = this.createProbe();
     this.promotions = this.createPromotions();
-    const { sync, answers, renewer, retirer, promotions } = this;
+    const { sync, responder, renewer, retirer, promotions } = this;
     for (const handler of [
       calls,
       round,
       this.documents,
       sync,
-      answers,
+      responder,
       renewer,
       retirer,
       promotions,
@@ -136,12 +136,12 @@
     }
   }
 
-  /** Whether what the store shows of the gateway's own documents can be relied on. */
+  /** Whether the gateway's own documents, as read from the store, can be relied on. */
   get isStoreSettled(): boolean {
     return this.view.hasLoaded && this.view.isEraSettled;
   }
 
-  /** Listens for other hosts and begins to follow the store. */
+  /** Listens for other hosts and starts to follow the store. */
   async start(): Promise<void> {
     const { self } = this.options;
     await this.network.listen(self.address, self.port);
@@ -151,7 +151,7 @@
     }, TICK_MS);
   }
 
-  /** Gives every proof up, takes this host off the list within `timeoutMs`, and closes everything. */
+  /** Revokes all proofs of this host, removes it from the list within `timeoutMs`, and closes all links. */
   async stop(timeoutMs: number): Promise<void> {
     clearInterval(this.timer);
     this.probe.stop();
@@ -164,22 +164,22 @@
 
   private tick(): void {
     const now = performance.now();
-    const mayJudge = this.loop.recordTick(now);
+    const isOnTime = this.loop.recordTick(now);
     this.sync.tick(now);
-    if (mayJudge) this.judgeOthers(now);
+    if (isOnTime) this.runTimeouts(now);
     else this.log.info('host-paused', { late_ms: Math.round(this.loop.delayMs) });
   }
 
-  /** Acts on whatever is late at `now`. */
-  private judgeOthers(now: number): void {
+  /** Runs what acts on time-outs at `now`; not called on a late tick, so that replies that wait are read first. */
+  private runTimeouts(now: number): void {
     this.calls.tick(now);
     this.sync.syncFromFallbacks(now);
-    this.answers.tick(now);
+    this.responder.tick(now);
     this.renewer.tick(now);
     this.retirer.tick(now);
     this.opener.tick(now);
     this.view.expireDocuments(now);
-    this.founder.tick(now);
+    this.initialRecords.tick(now);
     this.promotions.tick(now);
   }
 
@@ -249,10 +249,10 @@
     const { self, board, metrics, rules } = this.options;
     const { view, store, order, round, proofs, log } = this;
     const { authority } = rules.home;
-    const readAgain = (): Promise<boolean> => proofs.read();
+    const reloadOwnDocuments = (): Promise<boolean> => proofs.read();
     return new EraOpener({
       ...{ self, board, view, store, order, round },
-      ...{ authority, reloadOwnDocuments: readAgain, metrics, log },
+      ...{ authority, reloadOwnDocuments, metrics, log },
     });
   }
 
--- a/packages/gateway/src/control/hosts/host-retirer.ts
+++ b/packages/gateway/src/control/hosts/host-retirer.ts
@@ -1,6 +1,6 @@
 /**
- * Takes hosts off the list that are gone for good. Each host pings the one that follows it in the
- * list, and those after it until one answers, so every host is watched and nobody is set aside for it.
+ * Removes hosts from the list that are permanently gone. Each host pings the next one in the list, and those after
+ * it until one replies, so that every host is monitored without a dedicated monitoring host.
  */
 import type { HostId, RetirementRules } from '@gladespool/coordination';
 import { hostId, mayRetire } from '@gladespool/coordination';
@@ -16,7 +16,7 @@
 import { hostKey } from '../store/store-documents.js';
 import type { StoreView } from '../store/store-view.js';
 
-/** What the retirer works on. */
+/** Dependencies of the retirer. */
 export interface HostRetirerOptions {
   readonly board: GatewayBoard;
   readonly view: StoreView;
@@ -27,15 +27,15 @@
   readonly log: Logger;
 }
 
-/** Longest time for a ping, milliseconds; links are mostly there already. */
+/** Timeout of a ping, milliseconds; the link usually exists already. */
 const PING_TIMEOUT_MS = 700;
-/** Longest time for another host's own ping and its answer, milliseconds. */
-const ASK_TIMEOUT_MS = 1500;
+/** Timeout of an indirect ping, milliseconds: another host's own ping and its reply. */
+const INDIRECT_PING_TIMEOUT_MS = 1500;
 const WRITE_TIMEOUT_MS = 1500;
 
-/** Retirer of one host. */
+/** Pings other hosts and removes those that are gone. */
 export class HostRetirer implements PeerHandler {
-  private readonly silentSince = new Map<HostId, number>();
+  private readonly unreachableSince = new Map<HostId, number>();
   private lastRoundAt = Number.NEGATIVE_INFINITY;
   private running = false;
 
@@ -46,36 +46,36 @@
     const { rules, board } = this.options;
     if (this.running || board.draining || now - this.lastRoundAt < rules.pingMs) return;
     this.lastRoundAt = now;
-    void this.round();
+    void this.runRound();
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
     if (frame.kind === FrameKind.PingRequest)
       link.send({ kind: FrameKind.PingReply, id: frame.id });
-    if (frame.kind === FrameKind.IndirectPingRequest) void this.answerMissed(link, frame);
+    if (frame.kind === FrameKind.IndirectPingRequest) void this.replyToIndirectPing(link, frame);
   }
 
   onLost(): void {
-    // A lost link is a ping without an answer.
+    // A ping on a lost link times out.
   }
 
-  private async round(): Promise<void> {
+  private async runRound(): Promise<void> {
     this.running = true;
-    for (const entry of this.followers()) {
-      if (await this.answers(entry)) {
-        this.silentSince.delete(entry.host);
+    for (const entry of this.hostsInPingOrder()) {
+      if (await this.isReachable(entry)) {
+        this.unreachableSince.delete(entry.host);
         break;
       }
-      await this.consider(entry, performance.now());
+      await this.retireIfDue(entry, performance.now());
     }
     this.running = false;
   }
 
   /**
-   * The other hosts in the order of the list, beginning after this one. Hosts of one region stand together,
-   * so that few pings cross to another one.
+   * The other hosts in the order of the list, beginning after this one. Hosts of one region are adjacent, so that
+   * few pings cross regions.
    */
-  private followers(): readonly HostEntry[] {
+  private hostsInPingOrder(): readonly HostEntry[] {
     const { board } = this.options;
     const { isMultiRegion } = board.topology;
     const regionOf = ({ az }: HostEntry): string =>
@@ -89,14 +89,14 @@
     return own < 0 ? [] : [...entries.slice(own + 1), ...entries.slice(0, own)];
   }
 
-  private async answers(entry: HostEntry): Promise<boolean> {
+  private async isReachable(entry: HostEntry): Promise<boolean> {
     const build = (id: number) => ({ kind: FrameKind.PingRequest, id }) as const;
     return (await this.options.calls.request(entry, build, PING_TIMEOUT_MS)).isOk();
   }
 
-  private async consider(entry: HostEntry, now: number): Promise<void> {
-    const since = this.silentSince.get(entry.host) ?? now;
-    this.silentSince.set(entry.host, since);
+  private async retireIfDue(entry: HostEntry, now: number): Promise<void> {
+    const since = this.unreachableSince.get(entry.host) ?? now;
+    this.unreachableSince.set(entry.host, since);
     if (now - since < this.options.rules.silentMs) return;
     const evidence = await this.evidenceOf(entry);
     const retires = mayRetire(evidence, now - since, this.options.rules);
@@ -105,28 +105,28 @@
   }
 
   private async evidenceOf(
-    silent: HostEntry,
+    unreachable: HostEntry,
   ): Promise<{ readonly listed: number; readonly missing: number; readonly reaching: number }> {
     const { board, calls, round } = this.options;
-    const others = round.others.filter((entry) => entry.host !== silent.host);
-    const ask = (id: number) =>
-      ({ kind: FrameKind.IndirectPingRequest, id, host: silent.host }) as const;
-    const answers = await Promise.all(
-      others.map((other) => calls.request(other, ask, ASK_TIMEOUT_MS)),
+    const others = round.others.filter((entry) => entry.host !== unreachable.host);
+    const request = (id: number) =>
+      ({ kind: FrameKind.IndirectPingRequest, id, host: unreachable.host }) as const;
+    const replies = await Promise.all(
+      others.map((other) => calls.request(other, request, INDIRECT_PING_TIMEOUT_MS)),
     );
-    const told = answers.map((answer) =>
-      answer.isOk() && answer.value.kind === FrameKind.IndirectPingReply
-        ? answer.value.reached
+    const reports = replies.map((reply) =>
+      reply.isOk() && reply.value.kind === FrameKind.IndirectPingReply
+        ? reply.value.reached
         : undefined,
     );
     return {
       listed: board.listedHostCount,
-      missing: 1 + told.filter((reached) => reached === false).length,
-      reaching: told.filter((reached) => reached === true).length,
+      missing: 1 + reports.filter((reached) => reached === false).length,
+      reaching: reports.filter((reached) => reached === true).length,
     };
   }
 
-  /** Removes the entry unless it was written anew meanwhile. */
+  /** Removes the entry unless it has been rewritten meanwhile. */
   private async retire(entry: HostEntry): Promise<void> {
     const { store, view, log } = this.options;
     const key = hostKey(entry.host);
@@ -136,12 +136,12 @@
     log.info('host-retired', { retired: entry.host, result: changeResultText(result) });
   }
 
-  private async answerMissed(
+  private async replyToIndirectPing(
     link: PeerLink,
-    ask: FrameOf<FrameKind.IndirectPingRequest>,
+    request: FrameOf<FrameKind.IndirectPingRequest>,
   ): Promise<void> {
-    const entry = this.options.board.hosts.get(hostId(ask.host));
-    const reached = entry !== undefined && (await this.answers(entry));
-    link.send({ kind: FrameKind.IndirectPingReply, id: ask.id, reached });
+    const entry = this.options.board.hosts.get(hostId(request.host));
+    const reached = entry !== undefined && (await this.isReachable(entry));
+    link.send({ kind: FrameKind.IndirectPingReply, id: request.id, reached });
   }
 }
--- a/packages/gateway/src/control/hosts/host-round.ts
+++ b/packages/gateway/src/control/hosts/host-round.ts
@@ -1,8 +1,8 @@
 /**
- * One question to every listed host. In a zone of few hosts each is asked directly; in a larger one the first
- * hosts of the zone ask the others, to whom they have links already, and pass the answers on. So the host
- * that asks neither opens a link to everyone nor sends each question itself. In zones of another region
- * fewer are asked directly.
+ * Sends one request to every listed host. The hosts of a small zone receive it directly; in a larger zone the first
+ * hosts relay it to the others, to which they have links already, and forward the replies. So the requesting host
+ * neither opens a link to every host nor sends every request itself. For zones of another region the limit is
+ * lower.
  */
 import type { AzId, HostId } from '@gladespool/coordination';
 import { Distance, hostId, formatStorePosition } from '@gladespool/coordination';
@@ -14,121 +14,123 @@
 import type { PeerCalls } from '../../peering/peer-calls.js';
 import type { RelayOrder } from '../../knowledge/relay-order.js';
 
-/** A question that all hosts may be asked. */
+/** A request that can be sent to all hosts. */
 export type RoundRequest = FrameOf<FrameKind.RoundRequest>['question'];
 
-/** One host's answer. */
+/** One host's reply. */
 export interface RoundReply {
   readonly host: HostId;
-  /** Incarnation of the process that answered, if it told; else that which was listed. */
+  /** Incarnation of the process that replied, if the reply carries it; otherwise the listed one. */
   readonly incarnation: number;
-  /** Documents that the host passed on with it. */
+  /** Documents that the reply carries. */
   readonly items: readonly StoreItem[];
 }
 
-/** What the rounds work with. */
+/** Dependencies of the rounds. */
 export interface HostRoundOptions {
   readonly board: GatewayBoard;
   readonly order: RelayOrder;
   readonly calls: Pick<PeerCalls, 'request' | 'notify' | 'isReachable'>;
 }
 
-/** Hosts of a zone up to which each is asked directly: one link more is cheaper than one way more. */
+/** Number of hosts of a zone up to which each is contacted directly: a link costs less than an additional hop. */
 const DIRECT_HOSTS = 12;
-/** The same for a zone of another region: for four hosts, asking two of them takes half of the links. */
-const DIRECT_FAR_HOSTS = 3;
-/** Hosts of a larger zone that are asked to ask the others; each asks all, so that one may be lost. */
-const ASKING_HOSTS = 2;
-/** Time for which answers of a zone are gathered before they are passed on together, milliseconds. */
-const GATHER_MS = 20;
-
-type Take = (answer: RoundReply) => void;
-
-/** A round whose answers come by way of other hosts. */
-interface OpenRound {
-  readonly take: Take;
+/** The same for a zone of another region: with four hosts, two relays take half of the links. */
+const DIRECT_REMOTE_HOSTS = 3;
+/** Number of relays in a larger zone; each contacts all hosts, so that one relay may fail. */
+const RELAY_HOSTS = 2;
+/** Interval at which a relay forwards the replies that it has collected, milliseconds. */
+const FORWARD_INTERVAL_MS = 20;
+
+type OnReply = (reply: RoundReply) => void;
+
+/** A round whose replies arrive through a relay. */
+interface PendingRound {
+  readonly onReply: OnReply;
   readonly end: () => void;
 }
 
-/** Rounds of one host, and its part in those of others. */
+/** Runs the rounds of one host, and relays those of others. */
 export class HostRound implements PeerHandler {
-  private readonly open = new Map<number, OpenRound>();
+  private readonly pending = new Map<number, PendingRound>();
   private nextRound = 1;
 
   constructor(private readonly options: HostRoundOptions) {}
 
-  /** The listed hosts without this one. */
+  /** The listed hosts except this one. */
   get others(): readonly HostEntry[] {
     const { board } = this.options;
     return [...board.hosts.values()].filter((entry) => entry.host !== board.host);
   }
 
-  /** Other hosts on the list that can't be asked, since their entries can't be read; they may hold proofs. */
+  /** Other listed hosts that cannot be contacted, since their entries cannot be read; they may hold proofs. */
   get unknown(): readonly HostId[] {
     const { board } = this.options;
     return [...board.unreadableHosts].filter((host) => host !== board.host);
   }
 
   /**
-   * Asks every other host and reports each one's first answer. Nothing but an answer shows that a host
-   * is done: a cut can look like a process that is gone.
+   * Sends a request to every other host and reports each one's first reply. Only a reply counts: a network
+   * partition cannot be distinguished from a process that is gone.
    *
-   * @returns once all have answered or `timeoutMs` is over, the hosts that answered
+   * @returns the hosts that have replied, once all have or `timeoutMs` has passed
    */
   async requestAll(
     question: RoundRequest,
     timeoutMs: number,
-    onAnswer: Take = () => undefined,
+    onReply: OnReply = () => undefined,
   ): Promise<ReadonlySet<HostId>> {
     const answered = new Set<HostId>();
-    // A zone's first hosts may know of hosts that are not on this list; those are part of no majority of it.
+    // Relays may know of hosts that are not on this host's list; those do not count towards a majority of it.
     const listed = new Set(this.others.map((entry) => entry.host));
-    const take = (answer: RoundReply): void => {
-      if (!listed.has(answer.host) || answered.has(answer.host)) return;
-      answered.add(answer.host);
-      onAnswer(answer);
+    const accept = (reply: RoundReply): void => {
+      if (!listed.has(reply.host) || answered.has(reply.host)) return;
+      answered.add(reply.host);
+      onReply(reply);
     };
     const zones = [...new Set(this.others.map((entry) => entry.az))];
-    await Promise.all(zones.map((az) => this.askZone(az, question, timeoutMs, take)));
+    await Promise.all(zones.map((az) => this.requestZone(az, question, timeoutMs, accept)));
     return answered;
   }
 
   /**
-   * Tells the other hosts of news: each one of a small zone, the first ones of a larger zone, on which the
-   * questions of the others wait for it.
+   * Notifies the other hosts of an update: every host of a small zone, and the first hosts of a larger zone, at
+   * which the sync requests of the others wait for it.
    */
   notifyAll(frame: FrameOf<FrameKind.StoreUpdate>): void {
     const zones = [...new Set(this.others.map((entry) => entry.az))];
-    for (const entry of zones.flatMap((az) => this.toldFirst(az))) {
+    for (const entry of zones.flatMap((az) => this.firstNotified(az))) {
       void this.options.calls.notify(entry, frame);
     }
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
-    if (frame.kind === FrameKind.RoundRequest) void this.answer(link, frame);
-    if (frame.kind === FrameKind.RoundReplies) this.takeAnswers(frame);
+    if (frame.kind === FrameKind.RoundRequest) void this.relayRequest(link, frame);
+    if (frame.kind === FrameKind.RoundReplies) this.acceptReplies(frame);
   }
 
   onLost(): void {
-    // Answers that were lost with a link are missed by whoever waits for them.
+    // Requests whose replies are lost with a link time out.
   }
 
-  private async askZone(
+  private async requestZone(
     az: AzId,
     question: RoundRequest,
     timeoutMs: number,
-    take: Take,
+    onReply: OnReply,
   ): Promise<void> {
     const hosts = this.othersOf(az);
-    if (az === this.options.board.az || this.areAskedDirectly(az, hosts)) {
-      await Promise.all(hosts.map((entry) => this.askHost(entry, question, timeoutMs, take)));
+    if (az === this.options.board.az || this.areContactedDirectly(az, hosts)) {
+      await Promise.all(
+        hosts.map((entry) => this.requestHost(entry, question, timeoutMs, onReply)),
+      );
       return;
     }
-    const asking = this.reachableFirst(hosts).slice(0, ASKING_HOSTS);
-    const direct = asking.map((entry) => this.askHost(entry, question, timeoutMs, take));
-    const passedOn = asking.map((entry) => this.askByWayOf(entry, question, timeoutMs, take));
-    // All of the zone have answered once both is over on one of those that asked.
-    await Promise.all([...direct, Promise.race(passedOn)]);
+    const relays = this.reachableFirst(hosts).slice(0, RELAY_HOSTS);
+    const direct = relays.map((entry) => this.requestHost(entry, question, timeoutMs, onReply));
+    const relayed = relays.map((entry) => this.requestThrough(entry, question, timeoutMs, onReply));
+    // A zone is done once the relays have replied themselves and one of them has contacted all of the others.
+    await Promise.all([...direct, Promise.race(relayed)]);
   }
 
   private othersOf(az: AzId): readonly HostEntry[] {
@@ -136,20 +138,20 @@
     return order.hostsOf(az).filter((entry) => entry.host !== board.host);
   }
 
-  /** Whether the hosts of a zone are so few that each is asked directly. */
-  private areAskedDirectly(az: AzId, hosts: readonly HostEntry[]): boolean {
+  /** Whether a zone has so few hosts that each is contacted directly. */
+  private areContactedDirectly(az: AzId, hosts: readonly HostEntry[]): boolean {
     const { board } = this.options;
-    const isFar = board.topology.distance(board.az, az) === Distance.OtherRegion;
-    return hosts.length <= (isFar ? DIRECT_FAR_HOSTS : DIRECT_HOSTS);
+    const isRemote = board.topology.distance(board.az, az) === Distance.OtherRegion;
+    return hosts.length <= (isRemote ? DIRECT_REMOTE_HOSTS : DIRECT_HOSTS);
   }
 
-  private toldFirst(az: AzId): readonly HostEntry[] {
+  private firstNotified(az: AzId): readonly HostEntry[] {
     const hosts = this.othersOf(az);
-    if (this.areAskedDirectly(az, hosts)) return hosts;
-    return this.reachableFirst(hosts).slice(0, ASKING_HOSTS);
+    if (this.areContactedDirectly(az, hosts)) return hosts;
+    return this.reachableFirst(hosts).slice(0, RELAY_HOSTS);
   }
 
-  /** The hosts in order, those last that are known not to answer. */
+  /** The hosts in order, with those that are known to be unreachable last. */
   private reachableFirst(hosts: readonly HostEntry[]): readonly HostEntry[] {
     const now = performance.now();
     const isReachable = (entry: HostEntry): boolean => this.options.calls.isReachable(entry, now);
@@ -157,11 +159,11 @@
     return [...reachable, ...hosts.filter((entry) => !reachable.includes(entry))];
   }
 
-  private async askHost(
+  private async requestHost(
     entry: HostEntry,
     question: RoundRequest,
     timeoutMs: number,
-    take: Take,
+    onReply: OnReply,
   ): Promise<void> {
     const result = await this.options.calls.request(
       entry,
@@ -171,64 +173,67 @@
     if (result.isErr()) return;
     const { host, incarnation } = entry;
     const reply = result.value;
-    if (reply.kind !== FrameKind.RenewReply) take({ host, incarnation, items: [] });
-    else take({ host, incarnation: reply.incarnation, items: reply.items });
+    if (reply.kind !== FrameKind.RenewReply) onReply({ host, incarnation, items: [] });
+    else onReply({ host, incarnation: reply.incarnation, items: reply.items });
   }
 
-  /** Resolves once the host has asked all of its zone, or `timeoutMs` is over. */
-  private askByWayOf(
+  /** Sends the request through a relay; resolves once that has contacted all of its zone, or after `timeoutMs`. */
+  private requestThrough(
     entry: HostEntry,
     question: RoundRequest,
     timeoutMs: number,
-    take: Take,
+    onReply: OnReply,
   ): Promise<void> {
     const round = this.nextRound;
     this.nextRound += 1;
     return new Promise((resolve) => {
       const end = (): void => {
         clearTimeout(timer);
-        this.open.delete(round);
+        this.pending.delete(round);
         resolve();
       };
       const timer = setTimeout(end, timeoutMs);
-      this.open.set(round, { take, end });
-      const ask = { kind: FrameKind.RoundRequest, round, waitMs: timeoutMs, question } as const;
-      void this.options.calls.notify(entry, ask);
+      this.pending.set(round, { onReply, end });
+      const request = { kind: FrameKind.RoundRequest, round, waitMs: timeoutMs, question } as const;
+      void this.options.calls.notify(entry, request);
     });
   }
 
-  private takeAnswers({ round, answers, items, done }: FrameOf<FrameKind.RoundReplies>): void {
-    const held = this.open.get(round);
-    if (held === undefined) return;
+  private acceptReplies({ round, answers, items, done }: FrameOf<FrameKind.RoundReplies>): void {
+    const pending = this.pending.get(round);
+    if (pending === undefined) return;
     for (const { host, incarnation } of answers) {
-      held.take({ host: hostId(host), incarnation, items });
+      pending.onReply({ host: hostId(host), incarnation, items });
     }
-    if (done) held.end();
+    if (done) pending.end();
   }
 
-  /** Asks the other hosts of this host's zone for another host, and passes their answers on. */
-  private async answer(link: PeerLink, ask: FrameOf<FrameKind.RoundRequest>): Promise<void> {
+  /** Relays a request to the other hosts of this host's zone, and forwards their replies. */
+  private async relayRequest(
+    link: PeerLink,
+    request: FrameOf<FrameKind.RoundRequest>,
+  ): Promise<void> {
     const { board, order } = this.options;
-    const { round, question, waitMs } = ask;
+    const { round, question, waitMs } = request;
     const hosts = order.hosts.filter((entry) => entry.host !== board.host);
-    let gathered: RoundReply[] = [];
-    const passOn = (done: boolean): void => {
-      link.send(answersFrame(round, gathered, done));
-      gathered = [];
+    let collected: RoundReply[] = [];
+    const forward = (done: boolean): void => {
+      link.send(repliesFrame(round, collected, done));
+      collected = [];
     };
     const timer = setInterval(() => {
-      if (gathered.length > 0) passOn(false);
-    }, GATHER_MS);
-    const take = (answer: RoundReply): void => {
-      gathered.push(answer);
+      if (collected.length > 0) forward(false);
+    }, FORWARD_INTERVAL_MS);
+    const onReply = (reply: RoundReply): void => {
+      collected.push(reply);
     };
-    await Promise.all(hosts.map((entry) => this.askHost(entry, question, waitMs, take)));
+    await Promise.all(hosts.map((entry) => this.requestHost(entry, question, waitMs, onReply)));
     clearInterval(timer);
-    passOn(true);
+    forward(true);
   }
 }
 
-function answersFrame(
+function repliesFrame(
   round: number,
   answers: readonly RoundReply[],
   done: boolean,
@@ -242,7 +247,7 @@
   };
 }
 
-/** Each version of each key once; which one is newer is not told by their positions alone. */
+/** Each version of each key once; the positions alone do not show which version is newer. */
 function distinct(items: readonly StoreItem[]): Iterable<StoreItem> {
   const versions = new Map<string, StoreItem>();
   for (const item of items) {
