--- a/packages/gateway/src/control/promotion/promotion-attempt.ts
+++ b/packages/gateway/src/control/promotion/promotion-attempt.ts
@@ -157,7 +157,7 @@
       claimer.claim(this.former, this.successorToRetain, performance.now()),
     );
     if (result.isOk()) return result.value;
-    if (result.error.kind === 'duty-held') this.notBefore = result.error.until;
+    if (result.error.kind === 'lease-held') this.notBefore = result.error.until;
     return undefined;
   }
 
--- a/packages/gateway/src/control/promotion/reachability-poll.ts
+++ b/packages/gateway/src/control/promotion/reachability-poll.ts
@@ -40,16 +40,16 @@
 
   /** Polls this host and at most `maxOthers` others. */
   async run(record: PrimaryRecord, maxOthers: number | undefined): Promise<ReachabilityResult> {
-    const polled = this.hostsToAsk(record.group, maxOthers).map((host) =>
-      this.askOther(host, record),
+    const polled = this.hostsToPoll(record.group, maxOthers).map((host) =>
+      this.pollOther(host, record),
     );
-    polled.push(this.askSelf(record.group));
+    polled.push(this.pollSelf(record.group));
     const replies = await collect(polled);
     const reaching = replies.filter((reply) => reply.reaches === true);
     return { evidence: gatherEvidence(replies), reaching: reaching.map((reply) => reply.host) };
   }
 
-  private hostsToAsk(group: GroupId, maxOthers: number | undefined): readonly HostEntry[] {
+  private hostsToPoll(group: GroupId, maxOthers: number | undefined): readonly HostEntry[] {
     const { board, directory } = this.options;
     return reachSample(board.host, directory.zones, directory.plan(group).homes)
       .slice(0, maxOthers)
@@ -57,7 +57,7 @@
       .filter((entry) => entry !== undefined);
   }
 
-  private async askOther(host: HostEntry, record: PrimaryRecord): Promise<ReachabilityReply> {
+  private async pollOther(host: HostEntry, record: PrimaryRecord): Promise<ReachabilityReply> {
     const { group, epoch } = record;
     const request = (id: number) =>
       ({ kind: FrameKind.ReachabilityRequest, id, group, epoch }) as const;
@@ -66,7 +66,7 @@
     return { host: host.host, reaches: isReply ? reply.value.reaches : undefined };
   }
 
-  private async askSelf(group: GroupId): Promise<ReachabilityReply> {
+  private async pollSelf(group: GroupId): Promise<ReachabilityReply> {
     const { monitor, board } = this.options;
     return { host: board.host, reaches: await monitor.reaches(group) };
   }
--- a/packages/gateway/src/control/promotion/record-claimer.ts
+++ b/packages/gateway/src/control/promotion/record-claimer.ts
@@ -28,7 +28,7 @@
 /** Why a record was not claimed. */
 export type ClaimRefusal =
   /** Another host may still request promotions; its lease window ends at local time `until`. */
-  | { readonly kind: 'duty-held'; readonly until: number }
+  | { readonly kind: 'lease-held'; readonly until: number }
   /** The store did not apply the change, or its outcome is unknown. */
   | { readonly kind: 'not-written' };
 
@@ -76,7 +76,7 @@
       holder: seen?.holder,
       wait_ms: Math.round(lease.until - now),
     });
-    return err({ kind: 'duty-held', until: lease.until });
+    return err({ kind: 'lease-held', until: lease.until });
   }
 
   private async write(
--- a/packages/gateway/src/control/proofs/proof-diagnostics.ts
+++ b/packages/gateway/src/control/proofs/proof-diagnostics.ts
@@ -6,7 +6,7 @@
 
 /** What became of the proof in a reply. */
 export enum ProofOutcome {
-  Taken = 'taken',
+  Accepted = 'taken',
   /** The reply carried none. */
   None = 'none',
   /** This host does not hold the gateway's own documents up to the proof's position. */
--- a/packages/gateway/src/control/proofs/proof-renewer.ts
+++ b/packages/gateway/src/control/proofs/proof-renewer.ts
@@ -154,7 +154,7 @@
       await view.waitForOwnDocuments(position, rules.watchLagMs);
     }
     if (isLater(position, view.ownPosition)) return this.readDocuments();
-    // Questions that wait are answered as the proof is taken, and their answers tell how old the documents are.
+    // Accepting the proof triggers the replies to waiting requests; those report the age of the documents.
     if (!isLater(position, view.position)) view.markCurrent(sentAt);
     this.acceptProof({ sentAt, position, isFromStore: true });
     this.checkWatch(position);
--- a/packages/gateway/src/control/proofs/sync-service.ts
+++ b/packages/gateway/src/control/proofs/sync-service.ts
@@ -224,7 +224,7 @@
   /**
    * Reads the store if the hosts before this one in the relay order do not keep it up to date; the first few
    * continue for a while once they had to. The later a host is in the order, the less often it reads: if the store
-   * is unreachable, otherwise the whole zone would send it requests in vain.
+   * is unreachable, a whole zone would otherwise send it requests without success.
    */
   private readAsFallback(now: number): void {
     const { order, proofs, rules } = this.options;
@@ -235,7 +235,7 @@
       proofs.tick(now, Math.max(1, rank - FALLBACK_READERS));
   }
 
-  /** The first hosts of the zone, the last helper, a seed if no other host is known, and a host of a zone in turn. */
+  /** The first hosts of the zone, the last helper, a seed if no host is known, and a host of fallback zones in turn. */
   private fallbackPeers(now: number): readonly PeerAddress[] {
     const { board, seeds, order } = this.options;
     this.turn += 1;
@@ -341,7 +341,7 @@
       this.diagnostics.noteReply(now, ProofOutcome.AheadOfDocuments, now - sentAt);
       return;
     }
-    this.diagnostics.noteReply(now, ProofOutcome.Taken, now - sentAt);
+    this.diagnostics.noteReply(now, ProofOutcome.Accepted, now - sentAt);
     proofs.acceptProof({ sentAt, position, isFromStore });
   }
 }
