--- a/packages/gateway/tests/acting-hosts.feature
+++ b/packages/gateway/tests/acting-hosts.feature
@@ -1,8 +1,8 @@
-Feature: Which host acts on a group's primary first
+Feature: Failover order: which host acts first on a group's primary
 
   Scenario Outline: Hosts of the group's region act first where there are several regions
     Given 8 hosts of zones "<regions>", and a group with upstreams in zones "<upstreams>"
-    When <duty> holds the duty to call
+    When <duty> holds the promotion lease
     Then the first 4 to act are of regions "<first>"
 
     Examples:
@@ -11,15 +11,15 @@
       | a1:a,b1:b | a1,b1,b1  | nobody               | b,b,b,? |                                                |
       | a1:a,b1:b | a1,a1,b1  | a host of region "b" | b,a,a,a | nobody else may call for as long as it does    |
 
-  Scenario: Hosts act as ranked where there is one region
+  Scenario: Hosts act by rank where there is one region
     Given 8 hosts of zones "a1:a,b1:a", and a group with upstreams in zones "a1,a1,b1"
-    Then they act in the same order as where no regions are told
+    Then they act in the same order as without regions
 
   Scenario: The upstreams move to the other region
     Given 8 hosts of zones "a1:a,b1:b", and a group with upstreams in zones "a1,a1,b1"
-    When the group's upstreams are in zones "a1,b1,b1" then
+    When the group's upstreams move to zones "a1,b1,b1"
     Then the first 4 to act are of regions "b,b,b,?"
 
-  Scenario: Each host finds the same place for itself as the others do
+  Scenario: Each host computes the same rank for itself as the others do
     Given 8 hosts of zones "a1:a,b1:b", and a group with upstreams in zones "a1,a1,b1"
-    Then each host has another place, and all of them know the order
+    Then each host has a different rank, and all of them compute the same order
--- a/packages/gateway/tests/acting-hosts.steps.ts
+++ b/packages/gateway/tests/acting-hosts.steps.ts
@@ -15,12 +15,12 @@
 import { GatewayBoard, ReportedRole } from '../src/index.js';
 import { FailoverOrder } from '../src/control/promotion/failover-order.js';
 
-interface ActingWorld {
+interface OrderWorld {
   topology: Topology;
   entries: readonly HostEntry[];
   upstreams: readonly AzId[];
   duty: SeenPromotionLease | undefined;
-  /** The board and the order of one host, which lives on while things change. */
+  /** The board and the failover order of one host, kept across changes of the board. */
   board: GatewayBoard;
   acting: FailoverOrder;
 }
@@ -38,15 +38,15 @@
   return new Map(entries.map((entry) => [entry.id, entry]));
 }
 
-/** What a host sees. */
-function boardOf(world: ActingWorld, self: HostEntry, topology = world.topology): GatewayBoard {
+/** The board of a host. */
+function boardOf(world: OrderWorld, self: HostEntry, topology = world.topology): GatewayBoard {
   const board = new GatewayBoard(self.host, self.az, topology);
   board.putHosts(new Map(world.entries.map((entry) => [entry.host, entry])));
   board.putUpstreams(upstreamsIn(world.upstreams));
   return board;
 }
 
-function actingOn(world: ActingWorld, board: GatewayBoard): FailoverOrder {
+function orderOn(world: OrderWorld, board: GatewayBoard): FailoverOrder {
   const view = {
     get seenDuty(): SeenPromotionLease | undefined {
       return world.duty;
@@ -57,11 +57,13 @@
 
 Given(
   '{int} hosts of zones {string}, and a group with upstreams in zones {string}',
-  function (this: ActingWorld, count: number, regions: string, upstreams: string) {
-    const told = regions.split(',').map((each) => each.split(':') as [string, string]);
-    this.topology = new Topology(new Map(told.map(([az, region]) => [azId(az), regionId(region)])));
+  function (this: OrderWorld, count: number, regions: string, upstreams: string) {
+    const zones = regions.split(',').map((each) => each.split(':') as [string, string]);
+    this.topology = new Topology(
+      new Map(zones.map(([az, region]) => [azId(az), regionId(region)])),
+    );
     this.entries = Array.from({ length: count }, (_, index): HostEntry => {
-      const [az] = told[index % told.length] ?? [''];
+      const [az] = zones[index % zones.length] ?? [''];
       const place = { az: azId(az), address: '127.0.0.1', port: index + 1 };
       return { ...place, host: hostId(`h${index}`), incarnation: 1, linkMbps: 20 };
     });
@@ -69,19 +71,19 @@
     const [self] = this.entries;
     assert.ok(self);
     this.board = boardOf(this, self);
-    this.acting = actingOn(this, this.board);
-    // What is asked for once must not be kept for ever.
+    this.acting = orderOn(this, this.board);
+    // A cached order must be updated when the board changes.
     this.acting.hostsFor(GROUP, NOW);
   },
 );
 
-When('nobody holds the duty to call', function (this: ActingWorld) {
+When('nobody holds the promotion lease', function (this: OrderWorld) {
   this.duty = undefined;
 });
 
 When(
-  'a host of region {string} holds the duty to call',
-  function (this: ActingWorld, name: string) {
+  'a host of region {string} holds the promotion lease',
+  function (this: OrderWorld, name: string) {
     const { topology } = this;
     const holder = this.entries.find(({ az }) => topology.regionOf(az) === regionId(name));
     assert.ok(holder);
@@ -89,16 +91,13 @@
   },
 );
 
-When(
-  "the group's upstreams are in zones {string} then",
-  function (this: ActingWorld, zones: string) {
-    this.board.putUpstreams(upstreamsIn(zones.split(',').map(azId)));
-  },
-);
+When("the group's upstreams move to zones {string}", function (this: OrderWorld, zones: string) {
+  this.board.putUpstreams(upstreamsIn(zones.split(',').map(azId)));
+});
 
 Then(
   'the first {int} to act are of regions {string}',
-  function (this: ActingWorld, count: number, regions: string) {
+  function (this: OrderWorld, count: number, regions: string) {
     const first = this.acting.hostsFor(GROUP, NOW).slice(0, count);
     const expected = regions.split(',');
     for (const [index, host] of first.entries()) {
@@ -109,22 +108,25 @@
   },
 );
 
-Then('they act in the same order as where no regions are told', function (this: ActingWorld) {
+Then('they act in the same order as without regions', function (this: OrderWorld) {
   const [self] = this.entries;
   assert.ok(self);
-  const untold = actingOn(this, boardOf(this, self, SINGLE_REGION));
-  assert.deepEqual(this.acting.hostsFor(GROUP, NOW), untold.hostsFor(GROUP, NOW));
+  const withoutRegions = orderOn(this, boardOf(this, self, SINGLE_REGION));
+  assert.deepEqual(this.acting.hostsFor(GROUP, NOW), withoutRegions.hostsFor(GROUP, NOW));
 });
 
-Then('each host has another place, and all of them know the order', function (this: ActingWorld) {
-  const order = this.acting.hostsFor(GROUP, NOW);
-  const places = this.entries.map((entry): [HostId, number] => {
-    const acting = actingOn(this, boardOf(this, entry));
-    return [entry.host, acting.ownRanks(NOW)(GROUP)];
-  });
-  assert.deepEqual(
-    new Map(places),
-    new Map(this.entries.map(({ host }) => [host, order.indexOf(host)])),
-  );
-  assert.equal(new Set(order).size, this.entries.length);
-});
+Then(
+  'each host has a different rank, and all of them compute the same order',
+  function (this: OrderWorld) {
+    const order = this.acting.hostsFor(GROUP, NOW);
+    const ranks = this.entries.map((entry): [HostId, number] => {
+      const acting = orderOn(this, boardOf(this, entry));
+      return [entry.host, acting.ownRanks(NOW)(GROUP)];
+    });
+    assert.deepEqual(
+      new Map(ranks),
+      new Map(this.entries.map(({ host }) => [host, order.indexOf(host)])),
+    );
+    assert.equal(new Set(order).size, this.entries.length);
+  },
+);
--- a/packages/gateway/tests/authority-in-action.feature
+++ b/packages/gateway/tests/authority-in-action.feature
@@ -1,4 +1,4 @@
-Feature: Hosts keep to the primary that they can prove, and change it together
+Feature: Hosts use only the primary for which they hold a proof, and replace it by agreement
 
   Scenario: A dead primary is replaced and writes go on
     Given 3 hosts that serve a group
@@ -6,29 +6,29 @@
     Then another upstream becomes the primary under one fence
     And every host writes there, none at the former primary after the change
 
-  Scenario: A host whose peers are refused is waited for until its proof has run out
+  Scenario: A host that cannot be reached is waited for until its proof has expired
     Given 3 hosts that serve a group
     When host 2 can no longer be asked by others, and the primary dies for the others
-    Then host 2 counted no answer after the first call for a promotion
+    Then host 2 accepted no reply after the first promotion request
     And another upstream becomes the primary under one fence
 
-  Scenario: Half of the hosts miss a primary that the others reach
+  Scenario: A host does not reach a primary that the others reach
     Given 3 hosts that serve a group
-    When host 0 misses the primary
+    When host 0 does not reach the primary
     Then host 0 still writes, by way of another host
     And no promotion is called for
 
-  Scenario: The answer to a claim is lost
+  Scenario: The reply to a claim is lost
     Given 3 hosts that serve a group
     When the primary dies and the answer to the next change of the store is lost
     Then another upstream becomes the primary under one fence
 
-  Scenario: The primary is lost a second time soon after
+  Scenario: The new primary fails soon after the change
     Given 3 hosts that serve a group
     When the primary dies
     Then another upstream becomes the primary under one fence
     When that one dies as well
-    Then the third upstream becomes the primary, called for by the same host
+    Then the third upstream becomes the primary, promoted by the same host
 
   Scenario: A primary that is busy with the connections of a whole fleet is kept
     Given 3 hosts that serve a group
@@ -40,33 +40,33 @@
     When the primary accepts connections and serves none from now on
     Then another upstream becomes the primary under one fence
 
-  Scenario: The upstream called for goes out of the reach of the host that called
+  Scenario: The promoted upstream becomes unreachable from the host that requested its promotion
     Given 3 hosts that serve a group
     When the primary dies, and the host that calls for another one does not reach that one any more
     Then the one called for serves, named by another host, and no other one was called for
 
-  Scenario: The platform refuses the upstream called for
+  Scenario: The platform refuses to promote the chosen upstream
     Given 3 hosts that serve a group
     When the primary dies, and the upstream first called for dies before the call
     Then the third upstream serves
 
-  Scenario: The new primary has still to apply what it received
+  Scenario: The new primary has yet to apply what it has received
     Given 3 hosts that serve a group
     When 5 writes are confirmed, and the primary dies
     And whoever follows it needs 400 ms to apply the last 3 of them
     Then it serves only once its reads show all of them
 
-  Scenario: Another upstream takes the lead while all hosts write and read at the former one
+  Scenario: Another upstream becomes primary while all hosts write and read at the former one
     Given 3 hosts that serve a group
     When another upstream is promoted, and the former primary notices
     Then every host writes at that upstream
-    And the hosts tell of a deposed primary
+    And the hosts report a deposed primary
 
-  # A read that the primary had shed waited to ask it once more, and took the record in force only after that.
-  # Another upstream served by then, and the answer of the former primary, a replica, was counted under the record
-  # and the proof of the new one. The read had arrived while the former one was proved, before any commit of the new
-  # one was confirmed, so it missed nothing that it had to see; but that rested on the wait alone.
-  Scenario: A read waits for a busy primary, and another one serves before it is asked again
+  # Guards against a retry that uses the record in force after its wait: a read that the primary has shed waits, another
+  # upstream becomes primary, and the reply of the former primary, now a replica, counts under the record and the proof
+  # of the new one. That such a read misses no commit that it must see then rests on the wait alone: it arrived while the
+  # former primary was proved, before any commit of the new one was confirmed.
+  Scenario: A read waits for a busy primary, and another one serves before the read is retried
     Given 3 hosts that serve a group
     When the primary sheds a read, and another upstream serves before the read is tried again
     Then the read is answered by the upstream that serves
--- a/packages/gateway/tests/authority-in-action.steps.ts
+++ b/packages/gateway/tests/authority-in-action.steps.ts
@@ -14,7 +14,7 @@
 import { primaryKey } from '../src/control/store/store-documents.js';
 import { FakeDeployment, GROUP } from './fakes/fake-deployment.js';
 
-/** An upstream that is no primary at first. */
+/** An upstream that is initially a replica. */
 const OTHER = upstreamId('u1');
 
 After(async function (this: Partial<ActionWorld>) {
@@ -81,7 +81,7 @@
   },
 );
 
-When('host {int} misses the primary', function (this: ActionWorld, index: number) {
+When('host {int} does not reach the primary', function (this: ActionWorld, index: number) {
   host(this, index).driver.unreachable.add(FORMER);
 });
 
@@ -103,7 +103,7 @@
   },
 );
 
-Then('host 2 counted no answer after the first call for a promotion', function (this: ActionWorld) {
+Then('host 2 accepted no reply after the first promotion request', function (this: ActionWorld) {
   const [first] = this.deployment.group.promotions;
   assert.ok(first);
   assert.ok(first.at > this.lastCountedAt);
@@ -189,7 +189,7 @@
 });
 
 Then(
-  'the third upstream becomes the primary, called for by the same host',
+  'the third upstream becomes the primary, promoted by the same host',
   { timeout: 20_000 },
   async function (this: ActionWorld) {
     const { deployment } = this;
@@ -200,7 +200,7 @@
       return primary !== undefined && phase === RecordPhase.Serving && !isDead(primary);
     });
     const holders = new Set(promotions.map(({ req }) => req.holder));
-    assert.equal(holders.size, 1, 'the duty did not have to move');
+    assert.equal(holders.size, 1, 'the promotion lease kept its holder');
 
     function isDead(primary: UpstreamId): boolean {
       return upstreams.get(primary)?.dead !== false;
@@ -325,22 +325,22 @@
   }
 });
 
-Then('the hosts tell of a deposed primary', async function (this: ActionWorld) {
-  assert.ok((await deposedTold(this)) > 0);
+Then('the hosts report a deposed primary', async function (this: ActionWorld) {
+  assert.ok((await countDeposed(this)) > 0);
 });
 
 Then(
-  'one change was enough, and no host tells of a deposed primary',
+  'one change was enough, and no host reports a deposed primary',
   async function (this: ActionWorld) {
-    // Longer than a deposed primary is looked at before it is changed.
+    // Longer than the time for which a primary must have been deposed before it is replaced.
     await pause(2 * DEFAULT_FAILOVER.suspectAfterMs);
     assert.equal(this.deployment.hosts[0]?.gateway.board.record(GROUP)?.epoch, 2);
-    assert.equal(await deposedTold(this), 0);
+    assert.equal(await countDeposed(this), 0);
   },
 );
 
-/** How often the hosts have told of a deposed primary. */
-async function deposedTold({ deployment }: ActionWorld): Promise<number> {
+/** Number of times that the hosts have reported a deposed primary. */
+async function countDeposed({ deployment }: ActionWorld): Promise<number> {
   const counters = deployment.hosts.map(({ metrics }) => metrics.primariesDeposed.get());
   const values = (await Promise.all(counters)).flatMap((counter) => counter.values);
   return values.reduce((sum, { value }) => sum + value, 0);
@@ -369,7 +369,7 @@
   assert.deepEqual(this.answer.kind === 'completed' && this.answer.rows, [OTHER]);
 });
 
-/** Whether the first host holds that an upstream serves. */
+/** Whether an upstream serves according to the record of the first host. */
 function serves(deployment: FakeDeployment, upstream: UpstreamId | undefined): boolean {
   const record = deployment.hosts[0]?.gateway.board.record(GROUP);
   const isServing = record?.phase === RecordPhase.Serving;
--- a/packages/gateway/tests/first-proof.feature
+++ b/packages/gateway/tests/first-proof.feature
@@ -15,24 +15,24 @@
     When a host reads the store and lists itself, and the answer to its registration is lost
     Then it holds no proof before it has read again
 
-  Scenario: A host that was taken off the list
+  Scenario: A host that was removed from the list
     Given a store that lists no host
     When a host reads the store and lists itself
     And it is taken off the list
     Then it lists itself again with its next reads, and holds a proof of then
 
-  Scenario: The read by which a host of several regions measures its way to the store is not answered
+  Scenario: The read by which a host of several regions measures its round trip to the store gets no reply
     Given a store that lists no host, in a deployment of two regions
     When a host reads the store and lists itself, and its measuring read is lost
     Then it is listed, and holds a proof without reading again
-    And it tells no round trip to the store
+    And it reports no round trip to the store
 
-  Scenario: A host of several regions begins to stop while it measures its way to the store
+  Scenario: A host of several regions begins to stop while it measures its round trip to the store
     Given a store that lists no host, in a deployment of two regions
-    When a host reads the store and begins to stop while it measures its way there
+    When a host reads the store and begins to stop while it measures its round trip
     Then the store lists no host
 
-  # Guards against reads that come a whole tick late, since their tick came a moment early.
+  # Guards against reads that are delayed by a whole tick because a tick came slightly early.
   Scenario Outline: The next read, ticks being 100 ms apart
     Given a store that lists no host
     When a host reads the store and lists itself, and reads it once more
--- a/packages/gateway/tests/first-proof.steps.ts
+++ b/packages/gateway/tests/first-proof.steps.ts
@@ -23,7 +23,7 @@
   store: FakeStore;
   board: GatewayBoard;
   client: FakeStoreClient;
-  keeper: ProofRenewer;
+  renewer: ProofRenewer;
   registrar: HostRegistrar;
   follower: StoreFollower;
   provenBefore: number;
@@ -31,7 +31,7 @@
 
 const POLL_MS = 2;
 const SERVES_ON_MS = 1000;
-const MEASURED_MS = 20;
+const ROUND_TRIP_MS = 20;
 
 const SELF = {
   host: hostId('h1'),
@@ -70,7 +70,7 @@
   world.client = store;
   world.registrar = registrar;
   world.follower = follower;
-  world.keeper = new ProofRenewer({ self, board, store, view, follower, registrar, rules, log });
+  world.renewer = new ProofRenewer({ self, board, store, view, follower, registrar, rules, log });
 }
 
 Given('a store that lists no host', function (this: ProofWorld) {
@@ -85,7 +85,7 @@
 
 When('a host reads the store and lists itself', async function (this: ProofWorld) {
   await this.follower.readOnce();
-  await this.keeper.register();
+  await this.renewer.register();
 });
 
 When(
@@ -93,7 +93,7 @@
   async function (this: ProofWorld) {
     await this.follower.readOnce();
     this.store.put(hostKey('h2'), { ...SELF, host: 'h2' });
-    await this.keeper.register();
+    await this.renewer.register();
   },
 );
 
@@ -102,7 +102,7 @@
   async function (this: ProofWorld) {
     await this.follower.readOnce();
     this.store.loseAnswers = 1;
-    await this.keeper.register();
+    await this.renewer.register();
     assert.equal(this.store.loseAnswers, 0);
   },
 );
@@ -112,17 +112,17 @@
   async function (this: ProofWorld) {
     await this.follower.readOnce();
     this.client.loseReads = 1;
-    await this.keeper.register();
+    await this.renewer.register();
     assert.equal(this.client.loseReads, 0);
   },
 );
 
 When(
-  'a host reads the store and begins to stop while it measures its way there',
+  'a host reads the store and begins to stop while it measures its round trip',
   async function (this: ProofWorld) {
     await this.follower.readOnce();
-    this.client.roundTripMs = MEASURED_MS;
-    const registering = this.keeper.register();
+    this.client.roundTripMs = ROUND_TRIP_MS;
+    const registering = this.renewer.register();
     this.board.draining = true;
     await registering;
   },
@@ -132,15 +132,15 @@
   'a host reads the store and lists itself, and reads it once more',
   async function (this: ProofWorld) {
     await this.follower.readOnce();
-    await this.keeper.register();
-    await this.keeper.read();
+    await this.renewer.register();
+    await this.renewer.read();
   },
 );
 
 Then(
   /^a tick ([\d.]+) ms after that read (begins|does not begin) the next one$/,
   function (this: ProofWorld, ms: string, begins: string) {
-    const began = this.keeper.tick(this.board.latestProofAt + Number(ms));
+    const began = this.renewer.tick(this.board.latestProofAt + Number(ms));
     assert.equal(began, begins === 'begins');
   },
 );
@@ -149,7 +149,7 @@
   assert.equal(this.store.items.has(hostKey(SELF.host)), false);
 });
 
-Then('it tells no round trip to the store', function (this: ProofWorld) {
+Then('it reports no round trip to the store', function (this: ProofWorld) {
   const entry = this.board.hosts.get(SELF.host);
   assert.ok(entry);
   assert.equal(entry.storeRoundTripMs, undefined);
@@ -167,7 +167,7 @@
 
 Then('it holds no proof before it has read again', async function (this: ProofWorld) {
   assert.equal(Number.isFinite(this.board.latestProofAt), false);
-  assert.equal(await this.keeper.read(), true);
+  assert.equal(await this.renewer.read(), true);
   assert.equal(Number.isFinite(this.board.latestProofAt), true);
 });
 
@@ -176,7 +176,7 @@
   { timeout: 20_000 },
   async function (this: ProofWorld) {
     while (this.board.latestProofAt <= this.provenBefore || !this.registrar.isListed) {
-      assert.equal(await this.keeper.read(), true);
+      assert.equal(await this.renewer.read(), true);
       await pause(POLL_MS);
     }
   },
--- a/packages/gateway/tests/host-round.feature
+++ b/packages/gateway/tests/host-round.feature
@@ -1,9 +1,9 @@
-Feature: A question to every listed host
+Feature: A request to every listed host
 
-  Scenario Outline: Who answers, and how much the host that asks has to send
+  Scenario Outline: Which hosts reply, and how much the requesting host has to send
     Given a fleet of <zones> zones with <hosts> hosts each, of which <silent> do not answer
-    When host 0 asks all others
-    Then <answered> hosts have answered, each once
+    When host 0 sends a request to all others
+    Then <answered> hosts have replied, each once
     And host 0 has sent at most <sent> frames
 
     Examples:
@@ -15,16 +15,16 @@
       | 5     | 39    | the first two of another zone, known to it | 192      | 54   | the next ones ask the zone               |
       | 5     | 39    | another zone                               | 155      | 54   | its hosts count as silent                |
 
-  Scenario: Hosts that the asking host has not listed don't count
+  Scenario: Hosts that the requesting host has not listed don't count
     Given a fleet of 5 zones with 39 hosts each, of which none do not answer
-    And host 0 has not heard of the last 10 hosts yet
-    When host 0 asks all others
-    Then 184 hosts have answered, each once
+    And host 0 does not know the last 10 hosts yet
+    When host 0 sends a request to all others
+    Then 184 hosts have replied, each once
 
-  Scenario Outline: Whom a host tells of a new primary
+  Scenario Outline: Which hosts are notified of a new primary
     Given a fleet of <zones> zones with <hosts> hosts each, of which <silent> do not answer
-    When host 0 tells the others of a changed record
-    Then <told> hosts were told, at least one of each zone
+    When host 0 notifies the others of a changed record
+    Then <told> hosts were notified, at least one of each zone
 
     Examples:
       | zones | hosts | silent                                     | told | why                                            |
@@ -34,8 +34,8 @@
 
   Scenario Outline: Few links are used to another region
     Given a fleet of 4 zones in <regions> regions with <hosts> hosts each, of which <silent> do not answer
-    When host 0 asks all others
-    Then <answered> hosts have answered, each once
+    When host 0 sends a request to all others
+    Then <answered> hosts have replied, each once
     And host 0 has sent at most <sent> frames, and has used links to <links> hosts of other regions
 
     Examples:
@@ -48,7 +48,7 @@
       | 2       | 3     | none                                       | 11       | 11   | 6     | each is asked directly             |
       | 1       | 12    | none                                       | 47       | 47   | 0     | one region: each is asked directly |
 
-  Scenario: News of a new primary cross to few hosts of another region
+  Scenario: An update of a primary is sent to few hosts of another region
     Given a fleet of 4 zones in 2 regions with 12 hosts each, of which none do not answer
-    When host 0 tells the others of a changed record
-    Then 27 hosts were told, at least one of each zone
+    When host 0 notifies the others of a changed record
+    Then 27 hosts were notified, at least one of each zone
--- a/packages/gateway/tests/host-round.steps.ts
+++ b/packages/gateway/tests/host-round.steps.ts
@@ -25,18 +25,18 @@
   listed: ReadonlyMap<HostId, HostEntry>;
   rounds: Map<HostId, HostRound>;
   silent: Set<HostId>;
-  /** Whether the hosts that don't answer are known for it. */
+  /** Whether the requesting host knows which hosts are unresponsive. */
   silentIsKnown: boolean;
   sent: number;
-  /** Hosts to which the asking host has sent. */
+  /** Hosts to which the requesting host has sent frames. */
   sentTo: Set<HostId>;
   answers: RoundReply[];
   told: HostId[];
 }
 
-const ASKER = hostId('h0');
+const REQUESTER = hostId('h0');
 const TIMEOUT_MS = 150;
-const SILENCE = gladespoolError({ step: Step.PeerExchange, peer: 'other' }, 'no answer in time');
+const NO_REPLY = gladespoolError({ step: Step.PeerExchange, peer: 'other' }, 'no answer in time');
 
 function entryOf(index: number, zones: number): HostEntry {
   const az = azId(`z${index % zones}`);
@@ -44,7 +44,7 @@
   return { host, az, address: '127.0.0.1', port: index + 1, incarnation: 1, linkMbps: 20 };
 }
 
-/** A link on which `to` receives. */
+/** A link on which `to` receives frames. */
 function linkTo(world: RoundWorld, from: HostId, to: HostId): PeerLink {
   const send = (frame: Frame): boolean => {
     world.rounds.get(to)?.onFrame(linkTo(world, to, from), frame);
@@ -55,7 +55,7 @@
 
 function callsOf(world: RoundWorld, self: HostId): HostRoundOptions['calls'] {
   const count = (peer: PeerAddress): void => {
-    if (self !== ASKER) return;
+    if (self !== REQUESTER) return;
     world.sent += 1;
     world.sentTo.add(hostId(peer.host));
   };
@@ -67,7 +67,7 @@
       if (!silent(peer)) return Promise.resolve(ok({ kind: FrameKind.RevokeReply, id: 1 }));
       return new Promise((resolve) => {
         setTimeout(() => {
-          resolve(err(SILENCE));
+          resolve(err(NO_REPLY));
         }, timeoutMs);
       });
     },
@@ -88,9 +88,9 @@
   return new HostRound({ board, order: new RelayOrder(board), calls: callsOf(world, entry.host) });
 }
 
-/** The hosts that a table's words stand for. */
+/** The hosts that a description in a table selects. */
 function silentHosts(world: RoundWorld, words: string): readonly HostId[] {
-  const board = new GatewayBoard(ASKER, azId('z0'));
+  const board = new GatewayBoard(REQUESTER, azId('z0'));
   board.putHosts(world.listed);
   const other = new RelayOrder(board).hostsOf(azId('z1')).map((entry) => entry.host);
   switch (words) {
@@ -108,7 +108,7 @@
   }
 }
 
-/** A fleet in which the hosts that a table's words stand for don't answer. */
+/** Creates a fleet in which the hosts that a description in a table selects do not reply. */
 function createFleet(world: RoundWorld, zones: number, hosts: number, words: string): void {
   const entries = Array.from({ length: zones * hosts }, (_, index) => entryOf(index, zones));
   world.listed = new Map(entries.map((entry) => [entry.host, entry]));
@@ -140,7 +140,7 @@
   },
 );
 
-When('host 0 asks all others', async function (this: RoundWorld) {
+When('host 0 sends a request to all others', async function (this: RoundWorld) {
   const question = {
     kind: FrameKind.HoldRequest,
     id: 0,
@@ -148,13 +148,13 @@
     epoch: 1,
     holdMs: 1,
   } as const;
-  const answered = await this.rounds.get(ASKER)?.requestAll(question, TIMEOUT_MS, (answer) => {
+  const answered = await this.rounds.get(REQUESTER)?.requestAll(question, TIMEOUT_MS, (answer) => {
     this.answers.push(answer);
   });
   assert.equal(answered?.size, this.answers.length);
 });
 
-Then('{int} hosts have answered, each once', function (this: RoundWorld, count: number) {
+Then('{int} hosts have replied, each once', function (this: RoundWorld, count: number) {
   assert.equal(this.answers.length, count);
   assert.equal(new Set(this.answers.map(({ host }) => host)).size, count);
 });
@@ -167,7 +167,7 @@
   'host 0 has sent at most {int} frames, and has used links to {int} hosts of other regions',
   function (this: RoundWorld, frames: number, links: number) {
     assert.ok(this.sent <= frames, `${this.sent} frames`);
-    const own = this.listed.get(ASKER)?.az;
+    const own = this.listed.get(REQUESTER)?.az;
     assert.ok(own);
     const far = [...this.sentTo].filter((host) => {
       const az = this.listed.get(host)?.az;
@@ -177,12 +177,12 @@
   },
 );
 
-When('host 0 tells the others of a changed record', function (this: RoundWorld) {
-  this.rounds.get(ASKER)?.notifyAll({ kind: FrameKind.StoreUpdate, items: [] });
+When('host 0 notifies the others of a changed record', function (this: RoundWorld) {
+  this.rounds.get(REQUESTER)?.notifyAll({ kind: FrameKind.StoreUpdate, items: [] });
 });
 
 Then(
-  '{int} hosts were told, at least one of each zone',
+  '{int} hosts were notified, at least one of each zone',
   function (this: RoundWorld, count: number) {
     assert.equal(new Set(this.told).size, count);
     const zonesOf = (hosts: Iterable<HostId>): ReadonlySet<string | undefined> =>
@@ -191,15 +191,12 @@
   },
 );
 
-Given(
-  'host 0 has not heard of the last {int} hosts yet',
-  function (this: RoundWorld, count: number) {
-    const known = [...this.listed.values()].slice(0, -count);
-    const self = known[0];
-    assert.ok(self);
-    const asker: RoundWorld = Object.create(this, {
-      listed: { value: new Map(known.map((entry) => [entry.host, entry])) },
-    }) as RoundWorld;
-    this.rounds.set(ASKER, roundOf(asker, self));
-  },
-);
+Given('host 0 does not know the last {int} hosts yet', function (this: RoundWorld, count: number) {
+  const known = [...this.listed.values()].slice(0, -count);
+  const self = known[0];
+  assert.ok(self);
+  const requester: RoundWorld = Object.create(this, {
+    listed: { value: new Map(known.map((entry) => [entry.host, entry])) },
+  }) as RoundWorld;
+  this.rounds.set(REQUESTER, roundOf(requester, self));
+});
--- a/packages/gateway/tests/news-passed-on.steps.ts
+++ b/packages/gateway/tests/news-passed-on.steps.ts
@@ -16,22 +16,22 @@
 import type { ActionWorld } from './fakes/action-world.js';
 import { fakeReader } from './fakes/fake-documents.js';
 
-/** How old the documents were known to be at most, and the proof, each by the local time since which. */
-interface Taken {
+/** Local times up to which the proof and the documents were known to be current. */
+interface AcceptedProof {
   readonly provenSince: number;
   readonly documentsSince: number;
 }
 
-interface NewsWorld extends ActionWorld {
-  /** What each host held as it took each proof. */
-  taken: readonly (readonly Taken[])[];
-  asked: number;
+interface UpdatesWorld extends ActionWorld {
+  /** State of each host when it accepted each proof. */
+  taken: readonly (readonly AcceptedProof[])[];
+  requests: number;
   sync: SyncService;
 }
 
-type Answer = Result<FrameOf<FrameKind.SyncReply>, GladespoolError>;
+type Reply = Result<FrameOf<FrameKind.SyncReply>, GladespoolError>;
 
-/** Time for which a question waits, milliseconds. */
+/** Time for which a request waits, milliseconds. */
 const WAIT_MS = 20;
 const LAPSE = { leavingAfterMs: 1000, goneAfterMs: 2000 };
 const UNREACHABLE = gladespoolError({ step: Step.PeerConnect, peer: 'parent' }, 'no link in time');
@@ -39,10 +39,10 @@
 When(
   'each host has taken {int} more proofs',
   { timeout: 20_000 },
-  async function (this: NewsWorld, count: number) {
+  async function (this: UpdatesWorld, count: number) {
     const { hosts } = this.deployment;
-    const taken = hosts.map(() => [] as Taken[]);
-    // The documents of the start have reached every host.
+    const taken = hosts.map(() => [] as AcceptedProof[]);
+    // Waits until the initial documents have reached every host.
     const startedAt = performance.now();
     await this.deployment.until(() =>
       hosts.every(({ gateway }) => gateway.board.catalogConfirmedAt > startedAt),
@@ -60,7 +60,7 @@
 
 Then(
   'the documents of each host were known to be as recent as each of these proofs',
-  function (this: NewsWorld) {
+  function (this: UpdatesWorld) {
     for (const { provenSince, documentsSince } of this.taken.flat()) {
       assert.ok(documentsSince >= provenSince, `${provenSince - documentsSince} ms older`);
     }
@@ -72,15 +72,15 @@
   return { host: hostId(name), az: azId('z'), address, port: 1, incarnation: 1, linkMbps: 1 };
 }
 
-/** Starts a host that is no relay, whose parent answers as `answer` does. */
-function startAsking(world: NewsWorld, answer: () => Promise<Answer>): void {
+/** Starts a host that is no relay, whose parent replies with the result of `reply`. */
+function startPolling(world: UpdatesWorld, reply: () => Promise<Reply>): void {
   const entries = [entry('h0'), entry('h1')];
   const listed = new Map(entries.map((each) => [each.host, each] as const));
   const parent = new RelayOrder(boardOf(entry('h0'), listed)).hosts[0];
   const self = entries.find((each) => each.host !== parent?.host);
   assert.ok(self);
   const board = boardOf(self, listed);
-  world.asked = 0;
+  world.requests = 0;
   const now = performance.now();
   const view = new StoreView({
     board,
@@ -90,7 +90,7 @@
     startedAt: now,
     lapse: LAPSE,
   });
-  // With a young proof it asks nobody but its parent.
+  // With a recent proof it sends requests only to its parent.
   view.markCurrent(now);
   board.recordProof(now);
   const options = {
@@ -99,11 +99,11 @@
     view,
     order: new RelayOrder(board),
     follower: { setActive: () => undefined },
-    proofs: { failing: false, tick: () => false, readMsAgo: () => undefined },
+    proofs: { failing: false, tick: () => false, msSinceRead: () => undefined },
     calls: {
-      ask: () => {
-        world.asked += 1;
-        return answer();
+      request: () => {
+        world.requests += 1;
+        return reply();
       },
     },
     loop: { pausedMsSince: () => 0 },
@@ -121,7 +121,7 @@
   return board;
 }
 
-Given('a host that asks its parent for news, which has none', function (this: NewsWorld) {
+Given('a host that polls its parent, which has no updates', function (this: UpdatesWorld) {
   const nothing = {
     kind: FrameKind.SyncReply,
     id: 1,
@@ -129,32 +129,32 @@
     newest: STORE_START,
     documentsPosition: STORE_START,
   } as const;
-  startAsking(this, async () => {
+  startPolling(this, async () => {
     await pause(WAIT_MS + 1);
     return ok(nothing);
   });
 });
 
-Given("a host that asks its parent for news, which can't be reached", function (this: NewsWorld) {
-  startAsking(this, () => Promise.resolve(err(UNREACHABLE)));
+Given('a host that polls its parent, which is unreachable', function (this: UpdatesWorld) {
+  startPolling(this, () => Promise.resolve(err(UNREACHABLE)));
 });
 
-After(function (this: Partial<NewsWorld>) {
+After(function (this: Partial<UpdatesWorld>) {
   this.sync?.stop();
 });
 
-When('its question has waited in vain', async function () {
+When('its request has waited without an update', async function () {
   await pause(WAIT_MS);
 });
 
-When('its question has failed', async function () {
+When('its request has failed', async function () {
   await turn();
 });
 
-Then('it asks again', async function (this: NewsWorld) {
-  while (this.asked < 2) await pause(WAIT_MS);
+Then('it sends another request', async function (this: UpdatesWorld) {
+  while (this.requests < 2) await pause(WAIT_MS);
 });
 
-Then('it does not ask again', function (this: NewsWorld) {
-  assert.equal(this.asked, 1);
+Then('it sends no other request', function (this: UpdatesWorld) {
+  assert.equal(this.requests, 1);
 });
--- a/packages/gateway/tests/primary-leaving.feature
+++ b/packages/gateway/tests/primary-leaving.feature
@@ -1,31 +1,31 @@
-Feature: A primary that leaves is handed over
+Feature: A draining primary is replaced by a planned change
 
-  Scenario: A primary that says that it is leaving is handed over, and no write fails meanwhile
+  Scenario: A primary that reports that it is draining is replaced, and no write fails meanwhile
     Given 3 hosts that serve a group
-    When the primary says that it is leaving, and hosts write all the time
+    When the primary reports that it is draining, and hosts write all the time
     Then another upstream becomes the primary under one fence
     And no write failed, and none ran at the former primary after the change
-    And one change was enough, and no host tells of a deposed primary
+    And one change was enough, and no host reports a deposed primary
 
-  Scenario: A primary leaves without saying so, its entry just goes
+  Scenario: The entry of a primary is removed without draining
     Given 3 hosts that serve a group
     When the entry of the primary goes and does not come back
     Then another upstream becomes the primary under one fence
     And every host writes there, none at the former primary after the change
 
-  Scenario: A primary whose commits no replica has received keeps its place when its entry goes
+  Scenario: A primary whose commits no replica has received stays primary when its entry is removed
     Given 3 hosts that serve a group
     When the replicas receive nothing while 20 writes are made, and the entry of the primary goes
     Then no promotion is called for within 2500 ms, and every host still writes
     When the replicas receive everything again
     Then another upstream becomes the primary under one fence
 
-  Scenario: Reads go to a primary that is leaving when its replicas lag
+  Scenario: Reads go to a draining primary when its replicas lag
     Given 3 hosts that serve a group whose reads may be 1500 ms old
-    When the replicas receive nothing while 20 writes are made, and the primary says that it is leaving
+    When the replicas receive nothing while 20 writes are made, and the primary reports that it is draining
     Then every host reads
 
-  Scenario: The entry of a primary goes while the store is about to be away
+  Scenario: The entry of a primary is removed while the store is about to become unavailable
     Given 3 hosts that serve a group
     When the entry of the primary goes, the store is away for 1500 ms and the entry is back at once
     Then no promotion is called for
--- a/packages/gateway/tests/primary-leaving.steps.ts
+++ b/packages/gateway/tests/primary-leaving.steps.ts
@@ -10,7 +10,7 @@
 });
 
 When(
-  'the primary says that it is leaving, and hosts write all the time',
+  'the primary reports that it is draining, and hosts write all the time',
   function (this: ActionWorld) {
     const { store } = this.deployment;
     const entry = JSON.parse(store.items.get(PRIMARY_KEY)?.value ?? '') as UpstreamEntry;
@@ -32,7 +32,7 @@
 );
 
 When(
-  'the replicas receive nothing while {int} writes are made, and the primary says that it is leaving',
+  'the replicas receive nothing while {int} writes are made, and the primary reports that it is draining',
   async function (this: ActionWorld, writes: number) {
     const { group, store, hosts } = this.deployment;
     for (const upstream of group.upstreams.values()) upstream.deaf = !upstream.isPrimary;
--- a/packages/gateway/tests/regions-in-action.steps.ts
+++ b/packages/gateway/tests/regions-in-action.steps.ts
@@ -13,12 +13,12 @@
 const ZONES = ['z0', 'z1', 'z2'].map(azId);
 /** Time over which bytes are counted, milliseconds: a few reads of the store. */
 const COUNTED_MS = 1000;
-/** Time for links and news of the start to end, milliseconds. */
+/** Time for links to open and initial updates to arrive, milliseconds. */
 const SETTLING_MS = 1000;
-/** Way to the store from the far region where a scenario does not tell it, milliseconds. */
+/** Round trip to the store from the far region where a scenario does not set it, milliseconds. */
 const FAR_MS = 30;
 
-/** A deployment whose zones `far` lie in a region of their own, `roundTripMs` away from the store. */
+/** Creates a deployment whose zones `far` form a region of their own, `roundTripMs` away from the store. */
 function createSpread(far: readonly AzId[], roundTripMs: number): FakeDeployment {
   const deployment = new FakeDeployment();
   const regionOf = (az: AzId): RegionId => regionId(far.includes(az) ? 'far' : 'near');
@@ -47,19 +47,19 @@
   },
 );
 
-/** The hosts as each of them is listed. */
+/** The entries of all listed hosts. */
 function listed(world: ActionWorld): readonly HostEntry[] {
   return [...host(world, 0).gateway.board.hosts.values()];
 }
 
-Then('each host tells how far from the store it is', function (this: ActionWorld) {
+Then('each host reports its round trip to the store', function (this: ActionWorld) {
   for (const { az, storeRoundTripMs } of listed(this)) {
     const leastMs = this.deployment.roundTripsMs.get(az) ?? 0;
     assert.ok(storeRoundTripMs !== undefined && storeRoundTripMs >= leastMs - 1, az);
   }
 });
 
-Then('no host tells how far from the store it is', function (this: ActionWorld) {
+Then('no host reports its round trip to the store', function (this: ActionWorld) {
   assert.ok(listed(this).every((entry) => entry.storeRoundTripMs === undefined));
 });
 
@@ -78,8 +78,8 @@
   },
 );
 
-/** Whether a host gets its news from another region. */
-function asksOverBorder(each: FakeHost): boolean {
+/** Whether a host gets its updates from another region. */
+function pollsAcrossRegions(each: FakeHost): boolean {
   const { board } = each.gateway;
   const parent = parentOf(each);
   return (
@@ -93,7 +93,7 @@
   return values.find(({ labels }) => labels.distance === 'other-region')?.value ?? 0;
 }
 
-/** Asserts that at most `count` hosts send bytes to the other region during `course`, those that pass news on among them. */
+/** Asserts that at most `count` hosts send bytes to the other region during `course`, forwarders of updates included. */
 async function assertSenders(
   { deployment: { hosts } }: ActionWorld,
   count: number,
@@ -104,20 +104,22 @@
   await course();
   const after = await Promise.all(hosts.map(farBytes));
   const sending = hosts.filter((_, index) => (after[index] ?? 0) > (before[index] ?? 0));
-  const passing = hosts.filter((each) => parentOf(each) === undefined || asksOverBorder(each));
-  assert.equal(passing.length, 2);
-  assert.ok(passing.every((each) => sending.includes(each)));
+  const forwarding = hosts.filter(
+    (each) => parentOf(each) === undefined || pollsAcrossRegions(each),
+  );
+  assert.equal(forwarding.length, 2);
+  assert.ok(forwarding.every((each) => sending.includes(each)));
   assert.ok(sending.length <= count, `${sending.length} hosts`);
 }
 
-/** Lets nothing else of this process run for a while. */
+/** Blocks the event loop. */
 function block(ms: number): void {
   const until = performance.now() + ms;
   while (performance.now() < until);
 }
 
 Then(
-  'at most {int} hosts send bytes to the other region, the reader and the one that asks it among them',
+  'at most {int} hosts send bytes to the other region, the reader and the one that polls it among them',
   { timeout: 20_000 },
   async function (this: ActionWorld, count: number) {
     await assertSenders(this, count, () => pause(COUNTED_MS));
@@ -137,9 +139,9 @@
 );
 
 When(
-  'the host of the far region that asks the reader no longer reaches the store, nor answers others',
+  'the host of the far region that polls the reader no longer reaches the store, nor replies to others',
   async function (this: ActionWorld) {
-    const asking = this.deployment.hosts.filter(asksOverBorder);
+    const asking = this.deployment.hosts.filter(pollsAcrossRegions);
     assert.equal(asking.length, 1);
     const [gone] = asking;
     assert.ok(gone);
--- a/packages/gateway/tests/relay-order.feature
+++ b/packages/gateway/tests/relay-order.feature
@@ -1,10 +1,10 @@
-Feature: Who asks whom for proofs and news of the store
+Feature: From which host each host gets proofs and updates of the store
 
-  Scenario Outline: One host reads, the first of each other zone asks it, the rest their zone's first
+  Scenario Outline: One host reads, the first of each other zone polls it, the rest poll the first of their zone
     Given <zones> zones of <hosts> hosts
     Then <readers> hosts read the store themselves
-    And <askers> hosts ask a host of another zone, all the same one, which reads the store
-    And the other <rest> hosts ask a host of their own zone, all of a zone the same one
+    And <askers> hosts poll a host of another zone, all the same one, which reads the store
+    And the other <rest> hosts poll a host of their own zone, all of a zone the same one
 
     Examples:
       | zones | hosts | readers | askers | rest |
@@ -15,18 +15,18 @@
 
   Scenario: A host that is not listed yet reads the store itself
     Given 3 zones of 3 hosts
-    Then a host of another name has nobody to ask
+    Then a host of another name has no host to poll
 
   Scenario: Hosts with wide links come first
     Given 3 zones of 8 hosts, of which 1 in each zone has ten times the others' bandwidth
     Then the first host of each zone is the one with the wide link
 
-  Scenario Outline: News cross to each other region once, and the reader stands near the store
+  Scenario Outline: Updates cross to each other region once, and the reader is near the store
     Given zones "<zones>" of 3 hosts that took "<round trips>" ms to read the store
-    Then the first hosts of the zones ask those of "<asked>", and the rest of each zone asks its first
+    Then the first hosts of the zones poll those of "<asked>", and the rest of each zone polls its first
 
-    # zones = zone:region; asked = zone>zone whose first host is asked, - for the reader
-    # By their hashes regions are ranked a, c, b, and zones c2, c1, x1, b1, a1, b2, a2.
+    # zones = zone:region; asked = zone>zone whose first host is polled, - for the reader
+    # By hash, regions are ranked a, c, b, and zones c2, c1, x1, b1, a1, b2, a2.
     Examples:
       | zones               | round trips      | asked                  | why                                           |
       | a1:a,a2:a,b1:b,b2:b | a=2,b=42         | a1>-,a2>a1,b1>a1,b2>b1 | region b has one host that asks over the path |
@@ -42,10 +42,10 @@
       | a1:a,a2:a,b1:a,b2:a | a=2,b=42         | a1>b1,a2>b1,b1>-,b2>b1 | one region: as without any                    |
       | a1:,a2:,b1:,b2:     | a=2,b=42         | a1>b1,a2>b1,b1>-,b2>b1 | no regions                                    |
 
-  Scenario Outline: Others take the place of hosts that are gone
+  Scenario Outline: Other hosts replace those that are gone
     Given zones "a1:a,a2:a,b1:b,b2:b" of 3 hosts that took "a=2,b=42" ms to read the store
     When <gone> is off the list
-    Then the first hosts of the zones ask those of "<asked>", and the rest of each zone asks its first
+    Then the first hosts of the zones poll those of "<asked>", and the rest of each zone polls its first
 
     Examples:
       | gone                      | asked                  | why                                |
@@ -54,9 +54,9 @@
       | every host of zone b1     | a1>-,a2>a1,b2>a1       | another zone of b asks the reader  |
       | every host of zone a1     | a2>-,b1>a2,b2>b1       | another zone of a reads            |
 
-  Scenario Outline: Whatever hosts are listed, every way ends at the reader and enters a region once
+  Scenario Outline: For any list of hosts every path ends at the reader and enters a region once
     Given <count> lists of <zones> zones in <regions> regions, of 1 to <hosts> hosts each with any round trips
-    Then every host's way to the reader enters no region twice, and one host of each other region asks over a border
+    Then every host's path to the reader enters no region twice, and one host of each other region polls across regions
 
     Examples:
       | count | zones | regions | hosts |
--- a/packages/gateway/tests/relay-order.steps.ts
+++ b/packages/gateway/tests/relay-order.steps.ts
@@ -14,9 +14,9 @@
 
 interface OrderWorld {
   listed: ReadonlyMap<HostId, HostEntry>;
-  /** Undefined where no regions are told. */
+  /** Undefined without regions. */
   topology?: Topology;
-  /** Deployments that a property is checked on. */
+  /** Deployments for which a property is checked. */
   lists: readonly OrderWorld[];
 }
 
@@ -45,7 +45,7 @@
   return new RelayOrder(board);
 }
 
-/** Every host with the one that it asks. */
+/** Every host with its parent, the host that it polls. */
 function parents(world: OrderWorld): readonly (readonly [HostEntry, HostEntry | undefined])[] {
   return [...world.listed.values()].map((entry) => [entry, orderOn(world, entry).parent]);
 }
@@ -70,7 +70,7 @@
 });
 
 Then(
-  '{int} hosts ask a host of another zone, all the same one, which reads the store',
+  '{int} hosts poll a host of another zone, all the same one, which reads the store',
   function (this: OrderWorld, count: number) {
     const all = parents(this);
     const reader = all.find(([, parent]) => parent === undefined)?.[0].host;
@@ -81,7 +81,7 @@
 );
 
 Then(
-  'the other {int} hosts ask a host of their own zone, all of a zone the same one',
+  'the other {int} hosts poll a host of their own zone, all of a zone the same one',
   function (this: OrderWorld, count: number) {
     const asking = parents(this).filter(([entry, parent]) => parent?.az === entry.az);
     assert.equal(asking.length, count);
@@ -91,7 +91,7 @@
   },
 );
 
-Then('a host of another name has nobody to ask', function (this: OrderWorld) {
+Then('a host of another name has no host to poll', function (this: OrderWorld) {
   const unlisted = { ...entryOf(0, 1, NARROW_MBPS), host: hostId('new') };
   assert.equal(orderOn(this, unlisted).parent, undefined);
 });
@@ -102,19 +102,19 @@
   }
 });
 
-/** Reads "zone:region,…". */
+/** Parses "zone:region,…". */
 function topologyOf(zones: string): Topology {
-  const told = zones.split(',').map((zone) => zone.split(':'));
-  const placed = told.filter(([, region]) => region !== '');
+  const parsed = zones.split(',').map((zone) => zone.split(':'));
+  const placed = parsed.filter(([, region]) => region !== '');
   return new Topology(
     new Map(placed.map(([az, region]) => [azId(az ?? ''), regionId(region ?? '')] as const)),
   );
 }
 
-/** Round trips told by the hosts of a zone, by the first letter of its name. */
+/** Round trips that the hosts of a zone report, by the first letter of its name. */
 function roundTripsOf(az: string, roundTrips: string): readonly number[] {
-  const told = roundTrips.split(',').find((each) => each.startsWith(`${az.charAt(0)}=`));
-  return told?.slice(2).split('/').map(Number) ?? [];
+  const reported = roundTrips.split(',').find((each) => each.startsWith(`${az.charAt(0)}=`));
+  return reported?.slice(2).split('/').map(Number) ?? [];
 }
 
 Given(
@@ -123,26 +123,26 @@
     this.topology = topologyOf(zones);
     const names = zones.split(',').map((zone) => zone.split(':')[0] ?? '');
     const entries = names.flatMap((az) => {
-      const told = roundTripsOf(az, roundTrips);
+      const reported = roundTripsOf(az, roundTrips);
       return Array.from({ length: hosts }, (_, index): HostEntry => ({
         ...entryOf(index, 1, NARROW_MBPS),
         host: hostId(`${az}-${index}`),
         az: azId(az),
-        storeRoundTripMs: told[index % Math.max(1, told.length)],
+        storeRoundTripMs: reported[index % Math.max(1, reported.length)],
       }));
     });
     this.listed = list(entries);
   },
 );
 
-function firstOf(world: OrderWorld, az: string): HostId | undefined {
+function firstHostOf(world: OrderWorld, az: string): HostId | undefined {
   const [entry] = world.listed.values();
   assert.ok(entry);
   return orderOn(world, entry).hostsOf(azId(az))[0]?.host;
 }
 
 When('the first host of zone {word} is off the list', function (this: OrderWorld, az: string) {
-  const first = firstOf(this, az);
+  const first = firstHostOf(this, az);
   this.listed = list([...this.listed.values()].filter(({ host }) => host !== first));
 });
 
@@ -151,14 +151,14 @@
 });
 
 Then(
-  'the first hosts of the zones ask those of {string}, and the rest of each zone asks its first',
+  'the first hosts of the zones poll those of {string}, and the rest of each zone polls its first',
   function (this: OrderWorld, asked: string) {
     const ways = new Map(asked.split(',').map((way) => way.split('>') as [string, string]));
     assert.equal(ways.size, new Set([...this.listed.values()].map(({ az }) => az)).size);
     for (const [entry, parent] of parents(this)) {
-      const first = firstOf(this, entry.az);
+      const first = firstHostOf(this, entry.az);
       const way = ways.get(entry.az) ?? '';
-      const ofOtherZone = way === '-' ? undefined : firstOf(this, way);
+      const ofOtherZone = way === '-' ? undefined : firstHostOf(this, way);
       assert.equal(parent?.host, entry.host === first ? ofOtherZone : first, entry.host);
     }
   },
@@ -167,11 +167,19 @@
 const PROPERTY_SEED = 1;
 const MOST_ROUND_TRIP_MS = 100;
 
-/** A deployment of any hosts in given regions. */
-function anyList(random: SeededRandom, zones: number, regions: number, most: number): OrderWorld {
+/** A random deployment in the given number of regions. */
+function randomList(
+  random: SeededRandom,
+  zones: number,
+  regions: number,
+  most: number,
+): OrderWorld {
   const below = (bound: number): number => random.integer(0, bound - 1);
   const names = Array.from({ length: zones }, (_, index) => azId(`z${index}`));
-  const told = names.map((az, index): [AzId, RegionId] => [az, regionId(`r${index % regions}`)]);
+  const regionsOfZones = names.map((az, index): [AzId, RegionId] => [
+    az,
+    regionId(`r${index % regions}`),
+  ]);
   const entries = names.flatMap((az) =>
     Array.from({ length: 1 + below(most) }, (_, index): HostEntry => ({
       ...entryOf(index, 1, below(WIDE_MBPS)),
@@ -180,33 +188,33 @@
       storeRoundTripMs: below(2) === 0 ? undefined : below(MOST_ROUND_TRIP_MS),
     })),
   );
-  return { listed: list(entries), topology: new Topology(new Map(told)), lists: [] };
+  return { listed: list(entries), topology: new Topology(new Map(regionsOfZones)), lists: [] };
 }
 
 Given(
   '{int} lists of {int} zones in {int} regions, of 1 to {int} hosts each with any round trips',
   function (this: OrderWorld, count: number, zones: number, regions: number, hosts: number) {
     const random = new SeededRandom(PROPERTY_SEED);
-    this.lists = Array.from({ length: count }, () => anyList(random, zones, regions, hosts));
+    this.lists = Array.from({ length: count }, () => randomList(random, zones, regions, hosts));
   },
 );
 
-/** Regions on the way of a host to the reader, one for each time that the way enters one. */
-function regionsOnWay(world: OrderWorld, entry: HostEntry): readonly (RegionId | undefined)[] {
+/** Regions on the path from a host to the reader, one for each time that the path enters a region. */
+function regionsOnPath(world: OrderWorld, entry: HostEntry): readonly (RegionId | undefined)[] {
   const entered: (RegionId | undefined)[] = [];
   for (let at: HostEntry | undefined = entry; at !== undefined; at = orderOn(world, at).parent) {
     const region = world.topology?.regionOf(at.az);
     if (entered.at(-1) !== region) entered.push(region);
-    assert.ok(entered.length <= world.listed.size, 'the way does not end');
+    assert.ok(entered.length <= world.listed.size, 'the path does not end');
   }
   return entered;
 }
 
 Then(
-  "every host's way to the reader enters no region twice, and one host of each other region asks over a border",
+  "every host's path to the reader enters no region twice, and one host of each other region polls across regions",
   function (this: OrderWorld) {
     for (const world of this.lists) {
-      const ways = [...world.listed.values()].map((entry) => regionsOnWay(world, entry));
+      const ways = [...world.listed.values()].map((entry) => regionsOnPath(world, entry));
       assert.ok(ways.every((way) => way.length <= 2));
       assert.equal(new Set(ways.map((way) => way.at(-1))).size, 1);
       const crossing = parents(world).filter(([entry, parent]) => {
--- a/packages/gateway/tests/sync-answers.feature
+++ b/packages/gateway/tests/sync-answers.feature
@@ -1,12 +1,12 @@
-Feature: When a host answers a question for proofs and news
+Feature: When a host replies to a request for proofs and updates
 
   A host holds a proof sent at 1000 ms, of revision 10 of the store. Another one, listed at revision 5 unless
-  told otherwise, asks it at 1100 ms.
+  stated otherwise, sends it a request at 1100 ms.
 
-  Scenario Outline: A question and what follows
-    Given a question by a host <listed>, with a proof of <age> ms and a wait of <wait> ms
+  Scenario Outline: Replies to a request that may wait
+    Given a request by a host <listed>, with a proof of <age> ms and a wait of <wait> ms
     When <event>
-    Then <answers> answers were sent, <proof>
+    Then <answers> replies were sent, <proof>
 
     Examples:
       | listed                | age | wait | event                                 | answers | proof                     | why                                |
@@ -23,10 +23,10 @@
       | listed at revision 12 | none | 400 | a proof of 200 ms later is taken       | 1       | with a proof of -200 ms   | that is of revision 12             |
       | not listed            | none | 400 | 400 ms pass                           | 1       | with no proof             | it must not hold one               |
 
-  Scenario Outline: A question by a host whose documents are too old to tell what has changed since
-    Given a proof of revision 8 by the word of <whom>
-    When a host listed at revision 5 asks that holds the documents up to revision <held>
-    Then 1 answers were sent, <proof>
+  Scenario Outline: A request by a host whose documents are too old for a reply with the changes since
+    Given a proof of revision 8 from <whom>
+    When a host listed at revision 5 sends a request, and holds the documents up to revision <held>
+    Then 1 replies were sent, <proof>
 
     Examples:
       | whom        | held | proof                  | why                                                       |
--- a/packages/gateway/tests/sync-answers.steps.ts
+++ b/packages/gateway/tests/sync-answers.steps.ts
@@ -13,20 +13,20 @@
 import { fakeReader } from './fakes/fake-documents.js';
 import { at } from './fakes/store-positions.js';
 
-interface AnswersWorld {
+interface ResponderWorld {
   board: GatewayBoard;
   view: StoreView;
   answers: SyncResponder;
   proof: ForwardableProof;
   link: PeerLink;
   sent: FrameOf<FrameKind.SyncReply>[];
-  /** Local time at which the question arrived. */
-  askedAt: number;
+  /** Local time at which the request arrived. */
+  requestedAt: number;
   revision: number;
 }
 
 const PROVED_MS_BEFORE = 100;
-const ASKER = 'asker';
+const REQUESTER = 'asker';
 const LAPSE = { leavingAfterMs: 1000, goneAfterMs: 2000 };
 
 function hostItem(name: string, revision: number) {
@@ -35,8 +35,8 @@
   return { key: hostKey(name), value: JSON.stringify(entry), position: at(revision) };
 }
 
-function create(world: AnswersWorld, listedAt: number | undefined): void {
-  world.askedAt = performance.now();
+function create(world: ResponderWorld, listedAt: number | undefined): void {
+  world.requestedAt = performance.now();
   world.board = new GatewayBoard(hostId('self'), azId('z'));
   const reader = fakeReader(world.board);
   world.view = new StoreView({
@@ -48,35 +48,35 @@
     lapse: LAPSE,
   });
   const items = [hostItem('self', 4)];
-  if (listedAt !== undefined) items.push(hostItem(ASKER, listedAt));
+  if (listedAt !== undefined) items.push(hostItem(REQUESTER, listedAt));
   world.revision = 12;
   world.view.replace('', { items, position: at(world.revision) }, 0);
-  const sentAt = world.askedAt - PROVED_MS_BEFORE;
+  const sentAt = world.requestedAt - PROVED_MS_BEFORE;
   world.proof = { sentAt, position: at(10), isFromStore: true };
-  const passableTo = (host: string, incarnation: number): ForwardableProof | undefined =>
+  const forwardableTo = (host: string, incarnation: number): ForwardableProof | undefined =>
     world.view.wasListed(host, incarnation, world.proof.position) ? world.proof : undefined;
   world.answers = new SyncResponder({
     board: world.board,
     view: world.view,
-    proofs: { forwardableTo: passableTo },
+    proofs: { forwardableTo },
   });
   world.sent = [];
   const send = (frame: Frame): boolean => {
     if (frame.kind === FrameKind.SyncReply) world.sent.push(frame);
     return true;
   };
-  world.link = { host: ASKER, send } as unknown as PeerLink;
+  world.link = { host: REQUESTER, send } as unknown as PeerLink;
 }
 
 Given(
-  /^a question by a host (not listed|listed at revision \d+), with a proof of (none|\d+) ms and a wait of (\d+) ms$/,
-  function (this: AnswersWorld, listed: string, age: string, wait: string) {
+  /^a request by a host (not listed|listed at revision \d+), with a proof of (none|\d+) ms and a wait of (\d+) ms$/,
+  function (this: ResponderWorld, listed: string, age: string, wait: string) {
     const listedAt = /\d+/.exec(listed)?.[0];
     create(this, listedAt === undefined ? undefined : Number(listedAt));
     this.answers.onFrame(this.link, {
       kind: FrameKind.SyncRequest,
       id: 1,
-      host: ASKER,
+      host: REQUESTER,
       incarnation: 1,
       ownPosition: at(this.revision),
       heard: this.view.newest,
@@ -87,20 +87,20 @@
 );
 
 Given(
-  /^a proof of revision 8 by the word of (the store|other hosts)$/,
-  function (this: AnswersWorld, whom: string) {
+  /^a proof of revision 8 from (the store|other hosts)$/,
+  function (this: ResponderWorld, whom: string) {
     create(this, 5);
     this.proof = { ...this.proof, position: at(8), isFromStore: whom === 'the store' };
   },
 );
 
 When(
-  'a host listed at revision 5 asks that holds the documents up to revision {int}',
-  function (this: AnswersWorld, ownRevision: number) {
+  'a host listed at revision 5 sends a request, and holds the documents up to revision {int}',
+  function (this: ResponderWorld, ownRevision: number) {
     this.answers.onFrame(this.link, {
       kind: FrameKind.SyncRequest,
       id: 1,
-      host: ASKER,
+      host: REQUESTER,
       incarnation: 1,
       ownPosition: at(ownRevision),
       heard: this.view.newest,
@@ -109,36 +109,36 @@
   },
 );
 
-function listOne(world: AnswersWorld): void {
+function listOne(world: ResponderWorld): void {
   world.revision += 1;
   const item = hostItem('other', world.revision);
   world.view.applyEvents([{ kind: 'written', item }], at(world.revision), performance.now());
 }
 
-When('nothing happens', function (this: AnswersWorld) {
-  this.answers.tick(this.askedAt);
+When('nothing happens', function (this: ResponderWorld) {
+  this.answers.tick(this.requestedAt);
 });
 
-When('a proof of 200 ms later is taken', function (this: AnswersWorld) {
-  const sentAt = this.askedAt + 200;
+When('a proof of 200 ms later is taken', function (this: ResponderWorld) {
+  const sentAt = this.requestedAt + 200;
   this.proof = { sentAt, position: at(this.revision), isFromStore: true };
   this.board.recordProof(sentAt);
 });
 
-When('400 ms pass', function (this: AnswersWorld) {
-  this.answers.tick(this.askedAt + 410);
+When('400 ms pass', function (this: ResponderWorld) {
+  this.answers.tick(this.requestedAt + 410);
 });
 
-When('a host lists itself', function (this: AnswersWorld) {
+When('a host lists itself', function (this: ResponderWorld) {
   listOne(this);
 });
 
-When('a host lists itself and a tick passes', function (this: AnswersWorld) {
+When('a host lists itself and a tick passes', function (this: ResponderWorld) {
   listOne(this);
-  this.answers.tick(this.askedAt + 100);
+  this.answers.tick(this.requestedAt + 100);
 });
 
-When('a record changes', function (this: AnswersWorld) {
+When('a record changes', function (this: ResponderWorld) {
   this.revision += 1;
   const record = {
     group: 'g1',
@@ -155,18 +155,18 @@
   this.view.applyEvents([{ kind: 'written', item }], at(this.revision), performance.now());
 });
 
-When('the link is lost and 400 ms pass', function (this: AnswersWorld) {
+When('the link is lost and 400 ms pass', function (this: ResponderWorld) {
   this.answers.onLost(this.link);
-  this.answers.tick(this.askedAt + 410);
+  this.answers.tick(this.requestedAt + 410);
 });
 
 Then(
-  /^(\d+) answers were sent, with (?:no proof|a proof of (-?\d+) ms)$/,
-  function (this: AnswersWorld, count: string, age: string | null) {
+  /^(\d+) replies were sent, with (?:no proof|a proof of (-?\d+) ms)$/,
+  function (this: ResponderWorld, count: string, age: string | null) {
     assert.equal(this.sent.length, Number(count));
-    const told = this.sent[0]?.proof?.ageMs;
-    if (age === null) assert.equal(told, undefined);
-    // Between setting up and asking a few milliseconds pass.
-    else assert.ok(told !== undefined && Math.abs(told - Number(age)) < 50, `${told} ms`);
+    const ageMs = this.sent[0]?.proof?.ageMs;
+    if (age === null) assert.equal(ageMs, undefined);
+    // A few milliseconds pass between the setup and the request.
+    else assert.ok(ageMs !== undefined && Math.abs(ageMs - Number(age)) < 50, `${ageMs} ms`);
   },
 );
--- a/packages/gateway/tests/upstream-born-anew.steps.ts
+++ b/packages/gateway/tests/upstream-born-anew.steps.ts
@@ -9,10 +9,10 @@
 import { BIRTH, FakeDeployment, GROUP } from './fakes/fake-deployment.js';
 import type { FakeUpstream } from './fakes/fake-group.js';
 
-interface BirthWorld extends ActionWorld {
-  /** Statements that had run when the upstream started anew. */
+interface RestartWorld extends ActionWorld {
+  /** Number of statements that had run when the upstream restarted. */
   ranBefore: number;
-  /** Texts of the writes that were confirmed since. */
+  /** Texts of the writes that were confirmed after the restart. */
   confirmed: string[];
 }
 
@@ -21,13 +21,13 @@
 const REPLICA_KEY = `upstream/${REPLICA}`;
 const LATER = BIRTH + 60_000;
 const EARLIER = BIRTH - 60_000;
-/** Writes that every host makes at first, so that it knows how far the primary's log reaches. */
+/** Number of writes that every host makes at the start, so that it knows how far the primary's log reaches. */
 const WRITES = 5;
 const WRITE_PAUSE_MS = 5;
 const GONE_MS = 100;
 
-/** What the entry of an upstream tells one after the other; undefined when it goes from the store. */
-const TOLD: Readonly<Record<string, readonly (Partial<UpstreamEntry> | undefined)[]>> = {
+/** Consecutive changes of the entry of an upstream; undefined where it is removed from the store. */
+const ENTRY_CHANGES: Readonly<Record<string, readonly (Partial<UpstreamEntry> | undefined)[]>> = {
   'a later birth': [{ born: LATER }],
   'an earlier birth': [{ born: EARLIER }],
   'no birth': [{}],
@@ -37,7 +37,7 @@
 };
 
 async function start(
-  world: BirthWorld,
+  world: RestartWorld,
   hosts: number,
   change: Partial<FakeDeployment>,
 ): Promise<void> {
@@ -47,14 +47,14 @@
   for (let count = 0; count < WRITES; count += 1) await writeEverywhere(world);
 }
 
-async function writeEverywhere(world: BirthWorld): Promise<void> {
+async function writeEverywhere(world: RestartWorld): Promise<void> {
   const outcomes = world.deployment.hosts.map((each) => world.deployment.run(each, 'WRITE x 1'));
   for (const outcome of await Promise.all(outcomes)) assert.equal(outcome.kind, 'completed');
 }
 
-async function tell(world: BirthWorld, key: string, birth: string): Promise<void> {
+async function changeEntry(world: RestartWorld, key: string, birth: string): Promise<void> {
   const { store } = world.deployment;
-  const steps = TOLD[birth];
+  const steps = ENTRY_CHANGES[birth];
   assert.ok(steps, birth);
   const entry = JSON.parse(store.items.get(key)?.value ?? '') as UpstreamEntry;
   for (const change of steps) {
@@ -64,14 +64,14 @@
   }
 }
 
-function upstream(world: BirthWorld, id = FORMER): FakeUpstream {
+function upstream(world: RestartWorld, id = FORMER): FakeUpstream {
   const found = world.deployment.group.upstreams.get(id);
   assert.ok(found);
   return found;
 }
 
 /** Writes at every host until the primary has changed. */
-async function writeOn(world: BirthWorld): Promise<void> {
+async function writeUntilChanged(world: RestartWorld): Promise<void> {
   const { deployment } = world;
   const until = performance.now() + TIMEOUT.timeout / 2;
   let count = 0;
@@ -89,7 +89,7 @@
 Given(
   '{int} hosts that serve a group whose upstreams tell their births',
   TIMEOUT,
-  function (this: BirthWorld, hosts: number) {
+  function (this: RestartWorld, hosts: number) {
     return start(this, hosts, { tellsBirths: true });
   },
 );
@@ -97,7 +97,7 @@
 Given(
   '{int} hosts that serve a group whose upstreams tell no births',
   TIMEOUT,
-  function (this: BirthWorld, hosts: number) {
+  function (this: RestartWorld, hosts: number) {
     return start(this, hosts, {});
   },
 );
@@ -105,7 +105,7 @@
 Given(
   '{int} hosts that serve a group whose upstreams tell their births, with reads up to {int} ms old',
   TIMEOUT,
-  function (this: BirthWorld, hosts: number, maxStalenessMs: number) {
+  function (this: RestartWorld, hosts: number, maxStalenessMs: number) {
     return start(this, hosts, { tellsBirths: true, maxStalenessMs });
   },
 );
@@ -113,13 +113,13 @@
 Given(
   '{int} hosts that serve a group of 1 upstream that tells its birth',
   TIMEOUT,
-  function (this: BirthWorld, hosts: number) {
+  function (this: RestartWorld, hosts: number) {
     return start(this, hosts, { tellsBirths: true, upstreams: 1 });
   },
 );
 
-async function startPrimaryAnew(
-  world: BirthWorld,
+async function restartPrimary(
+  world: RestartWorld,
   closesConnections: boolean,
   birth: string,
 ): Promise<void> {
@@ -127,31 +127,31 @@
   world.confirmed = [];
   world.ranBefore = deployment.group.ran.length;
   upstream(world).startAnew(closesConnections);
-  const writing = deployment.upstreams > 1 ? writeOn(world) : Promise.resolve();
-  await tell(world, PRIMARY_KEY, birth);
+  const writing = deployment.upstreams > 1 ? writeUntilChanged(world) : Promise.resolve();
+  await changeEntry(world, PRIMARY_KEY, birth);
   await writing;
 }
 
 When(
-  /^the primary starts anew, and its entry tells (.*)$/,
+  /^the primary restarts, and its entry reports (.*)$/,
   TIMEOUT,
-  function (this: BirthWorld, birth: string) {
-    return startPrimaryAnew(this, true, birth);
+  function (this: RestartWorld, birth: string) {
+    return restartPrimary(this, true, birth);
   },
 );
 
 When(
-  /^the primary starts anew, its connections (end|stay open), and its entry tells nothing of it$/,
+  /^the primary restarts, its connections (end|stay open), and its entry reports nothing of it$/,
   TIMEOUT,
-  function (this: BirthWorld, connections: string) {
-    return startPrimaryAnew(this, connections === 'end', 'nothing of it');
+  function (this: RestartWorld, connections: string) {
+    return restartPrimary(this, connections === 'end', 'nothing of it');
   },
 );
 
 Given(
   '{int} hosts that serve a group whose upstreams tell their births, and that have written nothing',
   TIMEOUT,
-  async function (this: BirthWorld, hosts: number) {
+  async function (this: RestartWorld, hosts: number) {
     this.deployment = Object.assign(new FakeDeployment(), { tellsBirths: true });
     await this.deployment.start(hosts);
     this.former = FORMER;
@@ -159,12 +159,12 @@
 );
 
 When(
-  'the primary starts anew, every host has read its entry, and the store takes no change',
-  async function (this: BirthWorld) {
+  'the primary restarts, every host has read its entry, and the store takes no change',
+  async function (this: RestartWorld) {
     const { deployment } = this;
     deployment.store.readOnly = true;
     upstream(this).startAnew();
-    await tell(this, PRIMARY_KEY, 'a later birth');
+    await changeEntry(this, PRIMARY_KEY, 'a later birth');
     await deployment.until(() =>
       deployment.hosts.every(({ gateway }) => gateway.board.upstreams.get(FORMER)?.born === LATER),
     );
@@ -174,7 +174,7 @@
 Then(
   'no host runs a write at the primary within {int} ms',
   TIMEOUT,
-  async function (this: BirthWorld, ms: number) {
+  async function (this: RestartWorld, ms: number) {
     const { deployment } = this;
     const until = performance.now() + ms;
     do {
@@ -185,28 +185,28 @@
   },
 );
 
-When('the store takes changes again', function (this: BirthWorld) {
+When('the store takes changes again', function (this: RestartWorld) {
   this.deployment.store.readOnly = false;
 });
 
-When(/^the entry of the primary tells (.*)$/, function (this: BirthWorld, birth: string) {
-  return tell(this, PRIMARY_KEY, birth);
+When(/^the entry of the primary reports (.*)$/, function (this: RestartWorld, birth: string) {
+  return changeEntry(this, PRIMARY_KEY, birth);
 });
 
 When(
-  'a replica starts anew and receives nothing, and its entry tells a later birth',
-  async function (this: BirthWorld) {
+  'a replica restarts and receives nothing, and its entry reports a later birth',
+  async function (this: RestartWorld) {
     const replica = upstream(this, REPLICA);
     for (const each of this.deployment.hosts) await this.deployment.run(each, 'READ x');
     replica.deaf = true;
     replica.startAnew();
-    await tell(this, REPLICA_KEY, 'a later birth');
+    await changeEntry(this, REPLICA_KEY, 'a later birth');
   },
 );
 
 Then(
-  'no host has confirmed a write that the upstream which started anew has run',
-  function (this: BirthWorld) {
+  'no host has confirmed a write that the restarted upstream has run',
+  function (this: RestartWorld) {
     const since = this.deployment.group.ran.slice(this.ranBefore);
     const there = new Set(since.filter((run) => run.upstream === FORMER).map(({ text }) => text));
     assert.deepEqual(
@@ -216,14 +216,14 @@
   },
 );
 
-Then('the record names the birth of the primary', function (this: BirthWorld) {
+Then('the record names the start time of the primary', function (this: RestartWorld) {
   const { board } = host(this, 0).gateway;
   const record = board.record(GROUP);
   assert.ok(record);
   assert.equal(record.born, board.upstreams.get(record.primary)?.born);
 });
 
-Then('every host has dropped what it held of that replica', async function (this: BirthWorld) {
+Then('every host has dropped what it held of that replica', async function (this: RestartWorld) {
   const { deployment } = this;
   await deployment.until(() =>
     deployment.hosts.every(({ gateway }) => gateway.board.upstreams.get(REPLICA)?.born === LATER),
@@ -241,7 +241,7 @@
 Then(
   'every host reads what was written, none at that replica',
   TIMEOUT,
-  async function (this: BirthWorld) {
+  async function (this: RestartWorld) {
     const { deployment } = this;
     await writeEverywhere(this);
     await pause(deployment.maxStalenessMs);
@@ -259,7 +259,7 @@
 Then(
   'the replica that kept its log becomes the primary',
   TIMEOUT,
-  async function (this: BirthWorld) {
+  async function (this: RestartWorld) {
     const { deployment } = this;
     await deployment.until(() => deployment.primary() !== FORMER);
     assert.equal(deployment.primary(), upstreamId('u2'));
@@ -267,9 +267,9 @@
 );
 
 Then(
-  'the upstream that started anew is named as the primary with its birth',
+  'the restarted upstream is named as the primary with its start time',
   TIMEOUT,
-  async function (this: BirthWorld) {
+  async function (this: RestartWorld) {
     const { deployment } = this;
     await deployment.until(() =>
       deployment.hosts.every(({ gateway }) => {
