--- a/packages/coordination/src/authority/authority.ts
+++ b/packages/coordination/src/authority/authority.ts
@@ -35,8 +35,8 @@
 
 /**
  * 1 s: an unreachable host delays a promotion by this much. Proofs are renewed every 300 ms and
- * passed on immediately (`DEFAULT_PROOFS` and `DEFAULT_SYNC` of the gateway), so that one failed
- * renewal does no harm. docs/PLATFORM.md compares 1 s with 1.5 s, and 1.5 s with 3 s.
+ * passed on immediately (`DEFAULT_PROOF_RULES` and `DEFAULT_SYNC_RULES` of the gateway), so that
+ * one failed renewal does no harm. docs/PLATFORM.md compares 1 s with 1.5 s, and 1.5 s with 3 s.
  */
 export const DEFAULT_AUTHORITY: AuthorityRules = {
   proofTtlMs: 1000,
--- a/packages/gateway/src/control/control-plane.ts
+++ b/packages/gateway/src/control/control-plane.ts
@@ -49,7 +49,7 @@
   readonly promotions: PromotionPort;
   readonly holds: WriteHolds;
   readonly home: (group: GroupId) => GroupHome;
-  readonly reach: ReachabilityReports;
+  readonly reachability: ReachabilityReports;
   readonly directory: HomeDirectory;
   readonly peerKey: Buffer;
   readonly seeds: readonly PeerAddress[];
@@ -96,7 +96,7 @@
       metrics,
       log: this.log,
       startedAt: performance.now(),
-      lapse: rules.lapse,
+      expiry: rules.expiry,
     });
     this.store = new GuardedStore(store, this.view, this.log);
     this.order = new RelayOrder(board);
@@ -273,7 +273,7 @@
 
   private createPromotions(): PromotionController {
     const { self, board, directory, promotions } = this.options;
-    const { holds, home, reach, rules, metrics } = this.options;
+    const { holds, home, reachability, rules, metrics } = this.options;
     const monitor = new PrimaryMonitor({
       board,
       home,
@@ -282,7 +282,7 @@
     });
     return new PromotionController({
       monitor,
-      reach,
+      reachability,
       context: {
         self,
         board,
--- a/packages/gateway/src/control/promotion/failover-order.ts
+++ b/packages/gateway/src/control/promotion/failover-order.ts
@@ -16,7 +16,7 @@
 /** Inputs of the failover order. */
 export interface FailoverOrderOptions {
   readonly board: GatewayBoard;
-  readonly view: Pick<StoreView, 'seenDuty'>;
+  readonly view: Pick<StoreView, 'seenPromotionLease'>;
   readonly rules: FailoverRules;
 }
 
@@ -46,7 +46,12 @@
    */
   hostsFor(group: GroupId, now: number): readonly HostId[] {
     const { view, rules } = this.options;
-    return failoverOrder(this.rankedFor(this.regionOfGroup(group)), view.seenDuty, now, rules);
+    return failoverOrder(
+      this.rankedFor(this.regionOfGroup(group)),
+      view.seenPromotionLease,
+      now,
+      rules,
+    );
   }
 
   /** Index of this host in that order by group; -1 while it is not listed. Computed once per region. */
--- a/packages/gateway/src/control/promotion/primary-monitor.ts
+++ b/packages/gateway/src/control/promotion/primary-monitor.ts
@@ -99,13 +99,13 @@
   private async probeOnce(group: GroupId): Promise<boolean | undefined> {
     const { board, home, probe, rules } = this.options;
     const record = board.record(group);
-    const slot = record && home(group).pool(record.primary);
-    if (record === undefined || slot === undefined) return false;
+    const pool = record && home(group).pool(record.primary);
+    if (record === undefined || pool === undefined) return false;
     const startedAt = performance.now();
-    const floor = home(group).primaryFloor(slot.entry.id);
-    const result = await probe.ask(slot.entry, group, rules.probeTimeoutMs);
+    const floor = home(group).primaryFloor(pool.entry.id);
+    const result = await probe.query(pool.entry, group, rules.probeTimeoutMs);
     const now = performance.now();
-    const { health } = slot;
+    const { health } = pool;
     if (result.kind === 'status') noteReportedRole(home(group), record, result, now);
     if (result.kind === 'unserved') {
       health.noteUnserved(now);
@@ -113,7 +113,7 @@
     }
     const reached =
       repliesAsPrimary(result) &&
-      !home(group).detectLogLoss(slot.entry.id, floor, reportedPosition(result));
+      !home(group).detectLogLoss(pool.entry.id, floor, reportedPosition(result));
     if (reached) health.noteAlive(now);
     else health.noteFailure(now, startedAt - rules.probeAfterMs);
     return reached;
--- a/packages/gateway/src/control/promotion/promotion-controller.ts
+++ b/packages/gateway/src/control/promotion/promotion-controller.ts
@@ -35,7 +35,7 @@
 export interface PromotionControllerOptions {
   readonly context: PromotionContext;
   readonly monitor: PrimaryMonitor;
-  readonly reach: ReachabilityReports;
+  readonly reachability: ReachabilityReports;
 }
 
 /** Causes that need the agreement of the other hosts. */
@@ -248,7 +248,7 @@
     const yields = performance.now() < state.yieldUntil;
     const { evidence, reaching } = await this.poll.run(record, yields ? SAMPLE_HOSTS : undefined);
     const now = performance.now();
-    this.options.reach.put(record.group, record.epoch, reaching, now);
+    this.options.reachability.put(record.group, record.epoch, reaching, now);
     const verdict = this.judge(record, trigger, evidence, now);
     return !yields && verdict === FailoverDecision.Promote;
   }
--- a/packages/gateway/src/control/promotion/record-claimer.ts
+++ b/packages/gateway/src/control/promotion/record-claimer.ts
@@ -69,7 +69,7 @@
   /** The fence under which this host may take the promotion lease. */
   private takeLease(now: number): Result<number, ClaimRefusal> {
     const { self, view, rules } = this.ctx;
-    const seen = view.seenDuty;
+    const seen = view.seenPromotionLease;
     const lease = claimPromotionLease(seen, self, now, rules);
     if (lease.kind === 'take') return ok(lease.fence);
     this.log.info('promotion-waits-for-duty', {
--- a/packages/gateway/src/control/promotion/successor-promoter.ts
+++ b/packages/gateway/src/control/promotion/successor-promoter.ts
@@ -89,7 +89,7 @@
     while (performance.now() < until) {
       const entry = currentEntryOf(board, successor);
       if (entry === undefined) return false;
-      const result = await probe.ask(entry, this.group, STATUS_TIMEOUT_MS);
+      const result = await probe.query(entry, this.group, STATUS_TIMEOUT_MS);
       if (result.kind === 'status' && result.status.isPrimary) {
         if (hasLostCommits(successor, entry, result.status)) return false;
         const isPrimary = hasBecomePrimary(successor, result.status);
--- a/packages/gateway/src/control/promotion/successor-search.ts
+++ b/packages/gateway/src/control/promotion/successor-search.ts
@@ -132,7 +132,7 @@
   ): Promise<SuccessorReport | undefined> {
     const { board, probe } = this.ctx;
     const { id, born, group, draining } = entry;
-    const result = await probe.ask(entry, group, STATUS_TIMEOUT_MS);
+    const result = await probe.query(entry, group, STATUS_TIMEOUT_MS);
     if (result.kind !== 'status') return undefined;
     const evacuated = board.evacuations.has(entry.az);
     const isInFormerRegion = this.isInFormerRegion(formerAz, entry.az);
--- a/packages/gateway/src/control/proofs/proof-renewer.ts
+++ b/packages/gateway/src/control/proofs/proof-renewer.ts
@@ -58,12 +58,13 @@
   constructor(private readonly options: ProofRenewerOptions) {}
 
   /**
-   * Starts a read if one is due at `now`; the interval between reads is multiplied by `pace`.
+   * Starts a read if one is due at `now`; the interval between reads is multiplied by `intervalFactor`.
    *
    * @returns whether a read was started
    */
-  tick(now: number, pace = 1): boolean {
-    const isDue = now - this.lastSentAt >= this.options.rules.intervalMs * pace - TICK_SLACK_MS;
+  tick(now: number, intervalFactor = 1): boolean {
+    const isDue =
+      now - this.lastSentAt >= this.options.rules.intervalMs * intervalFactor - TICK_SLACK_MS;
     if (this.reading || !isDue) return false;
     void this.read();
     return true;
@@ -93,8 +94,8 @@
     const { board, view } = this.options;
     const entries = [...board.hosts.values()];
     const hosts = new Map(entries.map((entry) => [entry.host, entry.incarnation] as const));
-    const { listedHostCount: listed } = board;
-    return { readAt: this.listedAt, position: view.ownPosition, hosts, listed };
+    const { listedHostCount } = board;
+    return { readAt: this.listedAt, position: view.ownPosition, hosts, listed: listedHostCount };
   }
 
   /** Accepts a renewal by a majority of `list`, in a round that began at `sentAt`. */
--- a/packages/gateway/src/control/proofs/sync-service.ts
+++ b/packages/gateway/src/control/proofs/sync-service.ts
@@ -289,7 +289,7 @@
     const { self, view, calls, board, rules } = this.options;
     const sentAt = performance.now();
     const { host, incarnation } = self;
-    const { latestProofAt: provenSince } = board;
+    const { latestProofAt } = board;
     if (waitMs > 0) this.diagnostics.noteRequest(sentAt);
     const request = {
       host,
@@ -297,7 +297,7 @@
       ownPosition: view.ownPosition,
       heard: laterOf(this.newestKnown, view.newest),
       waitMs,
-      ...(Number.isFinite(provenSince) && { proofAgeMs: sentAt - provenSince }),
+      ...(Number.isFinite(latestProofAt) && { proofAgeMs: sentAt - latestProofAt }),
     };
     const result = await calls.request(
       peer,
@@ -309,7 +309,7 @@
     if (result.isErr() || result.value.kind !== FrameKind.SyncReply || this.stopped) return false;
     this.acceptReply(result.value, peer, sentAt);
     if (!this.isStale(performance.now())) this.lastHelper = peer;
-    return board.latestProofAt > provenSince;
+    return board.latestProofAt > latestProofAt;
   }
 
   /** Applies the reply to a request that was sent at `sentAt`. */
--- a/packages/gateway/src/control/store/board-publisher.ts
+++ b/packages/gateway/src/control/store/board-publisher.ts
@@ -42,10 +42,10 @@
     private readonly board: GatewayBoard,
     private readonly documents: DocumentCache,
     private readonly log: Logger,
-    lapse: ExpiryRules,
+    expiry: ExpiryRules,
     private readonly era: EraState,
   ) {
-    this.expired = new ExpiredUpstreams(lapse, log);
+    this.expired = new ExpiredUpstreams(expiry, log);
   }
 
   /** Applies a document that replaces `former`. */
--- a/packages/gateway/src/control/store/store-follower.ts
+++ b/packages/gateway/src/control/store/store-follower.ts
@@ -20,7 +20,10 @@
   readonly retryMs: number;
 }
 
-/** `watchMs`: three watches in a benchmark run of 40 s; the renewal of proofs notices a lost watch much earlier. */
+/**
+ * `watchMs`: one watch lasts long enough that the store receives few calls; the renewal of proofs notices a lost watch
+ * much earlier.
+ */
 export const DEFAULT_FOLLOWER: FollowerRules = {
   readTimeoutMs: 4000,
   watchMs: 12_000,
--- a/packages/gateway/src/control/store/store-view.ts
+++ b/packages/gateway/src/control/store/store-view.ts
@@ -63,7 +63,7 @@
   readonly log: Logger;
   /** Local time at which the view starts; removals shortly before it are unknown. */
   readonly startedAt: number;
-  readonly lapse: ExpiryRules;
+  readonly expiry: ExpiryRules;
 }
 
 /**
@@ -94,11 +94,11 @@
   private readonly log: Logger;
 
   constructor(options: StoreViewOptions) {
-    const { board, reader, metrics, log, startedAt, lapse } = options;
+    const { board, reader, metrics, log, startedAt, expiry } = options;
     this.board = board;
     this.reader = reader;
     this.log = log;
-    this.publisher = new BoardPublisher(board, this.cache, log, lapse, {
+    this.publisher = new BoardPublisher(board, this.cache, log, expiry, {
       isMissing: (key) => this.isMissing(key),
       minimumCatalogVersion: (position) => this.minimumCatalogVersion(position),
     });
@@ -165,7 +165,7 @@
   }
 
   /** The promotion lease as the coordination rules need it. */
-  get seenDuty(): SeenPromotionLease | undefined {
+  get seenPromotionLease(): SeenPromotionLease | undefined {
     return this.duty && { ...this.duty.duty, seenAt: this.duty.seenAt };
   }
 
@@ -467,7 +467,7 @@
   }
 
   private invalidateLease(position: StorePosition, now: number): void {
-    const { seenAt, ...duty } = placeholderPromotionLease(this.seenDuty, position, now);
+    const { seenAt, ...duty } = placeholderPromotionLease(this.seenPromotionLease, position, now);
     const renewal = this.duty?.duty.renewal ?? 0;
     this.duty = { duty: { ...duty, renewal }, seenAt };
   }
--- a/packages/gateway/src/forward/routed-executor.ts
+++ b/packages/gateway/src/forward/routed-executor.ts
@@ -35,7 +35,7 @@
   readonly home: (group: GroupId) => GroupHome;
   readonly calls: PeerCalls;
   readonly directory: HomeDirectory;
-  readonly reach: ReachabilityReports;
+  readonly reachability: ReachabilityReports;
   readonly metrics: HostMetrics;
   readonly log: Logger;
   /** Local time at which this host started. */
@@ -192,11 +192,11 @@
   }
 
   private recordFailure(job: Job, peer: PeerAddress, reason: RefusalReason): void {
-    const { metrics, log, reach } = this.options;
+    const { metrics, log, reachability } = this.options;
     const { group } = job.route;
     metrics.retries.inc({ reason: RetryReason.PeerUnreachable });
     log.info('detour-failed', { request: job.id, group, via: peer.host, reason });
-    reach.remove(group, peer.host as HostId);
+    reachability.remove(group, peer.host as HostId);
   }
 
   /** Other hosts to try before the local attempt, best first; none if this host runs the work itself. */
@@ -214,10 +214,10 @@
 
   /** Hosts that are known to reach the primary while this host does not. */
   private hostsReachingPrimary(group: GroupId, now: number): readonly HostId[] {
-    const { reach } = this.options;
+    const { reachability } = this.options;
     const home = this.options.home(group);
     return home.isPrimaryUnreachable(now)
-      ? reach.hostsReaching(group, home.record?.epoch, now)
+      ? reachability.hostsReaching(group, home.record?.epoch, now)
       : [];
   }
 
--- a/packages/gateway/src/gateway-host.ts
+++ b/packages/gateway/src/gateway-host.ts
@@ -63,7 +63,7 @@
   private readonly log: Logger;
   private readonly holds: WriteHolds;
   private readonly directory: HomeDirectory;
-  private readonly reach = new ReachabilityReports();
+  private readonly reachability = new ReachabilityReports();
   private readonly executor: LocalExecutor;
   private readonly control: ControlPlane;
   private readonly callers: CallerServer;
@@ -85,7 +85,7 @@
       ...options,
       board: this.board,
       holds: this.holds,
-      reach: this.reach,
+      reachability: this.reachability,
       directory: this.directory,
       home: (group) => this.executor.home(group),
     });
@@ -154,9 +154,9 @@
       driver,
       rules: rules.home,
       holds: this.holds,
-      pace: new PromotionTracker(this.board, performance.now()),
+      promotionTracker: new PromotionTracker(this.board, performance.now()),
       directory: this.directory,
-      reach: this.reach,
+      reachability: this.reachability,
       random: new SeededRandom(seed),
       evacuationMs: rules.evacuationMs,
       metrics,
@@ -182,7 +182,7 @@
       home: (group) => this.executor.home(group),
       calls: this.control.calls,
       directory: this.directory,
-      reach: this.reach,
+      reachability: this.reachability,
       metrics,
       log: createLogger('forward', { host: self.host }),
       startedAt: performance.now(),
--- a/packages/gateway/src/gateway-rules.ts
+++ b/packages/gateway/src/gateway-rules.ts
@@ -26,7 +26,7 @@
   readonly sync: SyncRules;
   readonly failover: FailoverRules;
   readonly retirement: RetirementRules;
-  readonly lapse: ExpiryRules;
+  readonly expiry: ExpiryRules;
   readonly keys: KeyRules;
   /** How far workspaces may exceed their rate limits. */
   readonly tolerance: LimitTolerance;
--- a/packages/gateway/src/home/group-home.ts
+++ b/packages/gateway/src/home/group-home.ts
@@ -71,7 +71,7 @@
   /** Maximum number of statements waiting for a connection to one upstream. */
   readonly maxWaiting: number;
   /** Expected durations of the phases of a primary outage, except for the promotion, whose duration is observed. */
-  readonly gap: Omit<OutageEstimates, 'promotionMs'>;
+  readonly outageEstimates: Omit<OutageEstimates, 'promotionMs'>;
 }
 
 /** Dependencies and settings that all homes of a host share. */
@@ -80,9 +80,9 @@
   readonly driver: UpstreamDriver;
   readonly rules: HomeRules;
   readonly holds: WriteHolds;
-  readonly pace: PromotionTracker;
+  readonly promotionTracker: PromotionTracker;
   readonly directory: HomeDirectory;
-  readonly reach: ReachabilityReports;
+  readonly reachability: ReachabilityReports;
   readonly random: RandomSource;
   /** Time after the start of an evacuation by which upstreams of the zone receive no more work, milliseconds. */
   readonly evacuationMs: number;
@@ -151,17 +151,21 @@
 
   /** Local time at which the primary, which cannot be used at `now`, is expected to be usable again. */
   expectedPrimaryAt(now: number): number {
-    const { board, rules, pace } = this.context;
+    const { board, rules, promotionTracker } = this.context;
     const { record } = this;
     const { proofTtlMs } = rules.authority;
-    const proofExpiredAt = Math.max(board.latestProofAt + proofTtlMs, pace.startedAt);
+    const proofExpiredAt = Math.max(board.latestProofAt + proofTtlMs, promotionTracker.startedAt);
     const view = {
       unprovedSince: board.isIsolated(now, rules.authority) ? proofExpiredAt : undefined,
-      claimedAt: pace.claimedAt(this.group),
+      claimedAt: promotionTracker.claimedAt(this.group),
       failingSince: this.deposedSince ?? (record && this.pool(record.primary)?.health.failingSince),
     };
-    const { expectedPromotionMs: promotionMs } = pace;
-    return expectedOutageEnd(view, { promotionMs, ...rules.gap }, now);
+    const { expectedPromotionMs } = promotionTracker;
+    return expectedOutageEnd(
+      view,
+      { promotionMs: expectedPromotionMs, ...rules.outageEstimates },
+      now,
+    );
   }
 
   /** Refusal of work that needs the primary while none is usable, with the time after which to retry. */
@@ -178,7 +182,7 @@
 
   /** Whether another host is known to reach the primary, so that work can be forwarded to it. */
   canForwardToPrimary(now: number): boolean {
-    return this.context.reach.hostsReaching(this.group, this.record?.epoch, now).length > 0;
+    return this.context.reachability.hostsReaching(this.group, this.record?.epoch, now).length > 0;
   }
 
   /** Whether an answer of an upstream that arrived at `now` counts as an answer of the primary. */
--- a/packages/gateway/src/home/upstream-probe.ts
+++ b/packages/gateway/src/home/upstream-probe.ts
@@ -47,7 +47,7 @@
   ) {}
 
   /** Requests the status of one upstream within `timeoutMs`. */
-  async ask(entry: UpstreamEntry, group: GroupId, timeoutMs: number): Promise<ProbeResult> {
+  async query(entry: UpstreamEntry, group: GroupId, timeoutMs: number): Promise<ProbeResult> {
     const held = this.takeChannel(entry);
     if (held !== undefined) return this.requestStatus(held, entry, timeoutMs);
     const startedAt = performance.now();
--- a/packages/gateway/tests/acting-hosts.steps.ts
+++ b/packages/gateway/tests/acting-hosts.steps.ts
@@ -48,7 +48,7 @@
 
 function orderOn(world: OrderWorld, board: GatewayBoard): FailoverOrder {
   const view = {
-    get seenDuty(): SeenPromotionLease | undefined {
+    get seenPromotionLease(): SeenPromotionLease | undefined {
       return world.duty;
     },
   };
--- a/packages/gateway/tests/bound-regions-in-action.steps.ts
+++ b/packages/gateway/tests/bound-regions-in-action.steps.ts
@@ -157,12 +157,12 @@
     marks.startEpoch(1);
     marks.add({ sentAt: now, position: { term: 1, offset: 1 } });
   }
-  const { directory, reach, metrics, log } = context;
-  reach.put(GROUP, 1, [...board.hosts.keys()].slice(1), now);
+  const { directory, reachability, metrics, log } = context;
+  reachability.put(GROUP, 1, [...board.hosts.keys()].slice(1), now);
   const calls = failingCalls(contacted);
   const home = (group: GroupId): GroupHome => local.home(group);
   const startedAt = Number.NEGATIVE_INFINITY;
-  const shared = { board, local, home, calls, directory, reach, metrics, log };
+  const shared = { board, local, home, calls, directory, reachability, metrics, log };
   const routed = new RoutedExecutor({ ...shared, startedAt });
   const job = jobOf(scenario, now);
   if (scenario.work.startsWith('begin')) {
--- a/packages/gateway/tests/evacuation.steps.ts
+++ b/packages/gateway/tests/evacuation.steps.ts
@@ -65,7 +65,7 @@
       metrics: new HostMetrics(),
       log: createLogger('test'),
       startedAt: 0,
-      lapse: expiryRules(1000),
+      expiry: expiryRules(1000),
     });
     if (current !== 'never') this.view.markCurrent(Number(current));
   },
--- a/packages/gateway/tests/first-proof.steps.ts
+++ b/packages/gateway/tests/first-proof.steps.ts
@@ -61,7 +61,7 @@
     metrics,
     log,
     startedAt: performance.now(),
-    lapse: expiryRules(SERVES_ON_MS),
+    expiry: expiryRules(SERVES_ON_MS),
   });
   const follower = new StoreFollower({ store, view, metrics, log, rules: DEFAULT_FOLLOWER });
   const registrar = new HostRegistrar(self, board, store, log);
--- a/packages/gateway/tests/guarded-store.steps.ts
+++ b/packages/gateway/tests/guarded-store.steps.ts
@@ -141,7 +141,7 @@
     metrics,
     log,
     startedAt: performance.now(),
-    lapse: expiryRules(1000),
+    expiry: expiryRules(1000),
   });
   const store = new GuardedStore(new FakeStoreClient(world.store), view, log);
   const order = new RelayOrder(board);
--- a/packages/gateway/tests/news-passed-on.steps.ts
+++ b/packages/gateway/tests/news-passed-on.steps.ts
@@ -33,7 +33,7 @@
 
 /** Time for which a request waits, milliseconds. */
 const WAIT_MS = 20;
-const LAPSE = { leavingAfterMs: 1000, goneAfterMs: 2000 };
+const EXPIRY = { leavingAfterMs: 1000, goneAfterMs: 2000 };
 const UNREACHABLE = gladespoolError({ step: Step.PeerConnect, peer: 'parent' }, 'no link in time');
 
 When(
@@ -88,7 +88,7 @@
     metrics: new HostMetrics(),
     log: createLogger('test'),
     startedAt: now,
-    lapse: LAPSE,
+    expiry: EXPIRY,
   });
   // With a recent proof it sends requests only to its parent.
   view.markCurrent(now);
--- a/packages/gateway/tests/store-histories.steps.ts
+++ b/packages/gateway/tests/store-histories.steps.ts
@@ -50,7 +50,7 @@
       metrics,
       log: createLogger('test'),
       startedAt: 0,
-      lapse: expiryRules(1000),
+      expiry: expiryRules(1000),
     });
   }
 
@@ -314,7 +314,7 @@
     configuration: board.catalog?.version,
     upstream: leaving === true ? 'leaving' : 'ready',
     record: board.record(GROUP)?.epoch,
-    duty: view.seenDuty?.fence,
+    duty: view.seenPromotionLease?.fence,
     evacuation: board.evacuations.has(azId('z1')),
     nothing: board.evacuations.has(azId('z1')),
   };
--- a/packages/gateway/tests/store-view.steps.ts
+++ b/packages/gateway/tests/store-view.steps.ts
@@ -117,7 +117,7 @@
     metrics,
     log: createLogger('test'),
     startedAt: STARTED_AT,
-    lapse: expiryRules(LEAVING_AFTER_MS),
+    expiry: expiryRules(LEAVING_AFTER_MS),
   });
 }
 
@@ -206,7 +206,10 @@
 Then(
   'the promotion lease is held under fence {int} since {int}',
   function (this: ViewWorld, fence: number, at: number) {
-    assert.deepEqual([this.view.seenDuty?.fence, this.view.seenDuty?.seenAt], [fence, at]);
+    assert.deepEqual(
+      [this.view.seenPromotionLease?.fence, this.view.seenPromotionLease?.seenAt],
+      [fence, at],
+    );
   },
 );
 
--- a/packages/gateway/tests/sync-answers.steps.ts
+++ b/packages/gateway/tests/sync-answers.steps.ts
@@ -27,7 +27,7 @@
 
 const PROVED_MS_BEFORE = 100;
 const REQUESTER = 'asker';
-const LAPSE = { leavingAfterMs: 1000, goneAfterMs: 2000 };
+const EXPIRY = { leavingAfterMs: 1000, goneAfterMs: 2000 };
 
 function hostItem(name: string, revision: number) {
   const address = '127.0.0.1';
@@ -45,7 +45,7 @@
     metrics: new HostMetrics(),
     log: createLogger('test'),
     startedAt: 0,
-    lapse: LAPSE,
+    expiry: EXPIRY,
   });
   const items = [hostItem('self', 4)];
   if (listedAt !== undefined) items.push(hostItem(REQUESTER, listedAt));
--- a/packages/gateway/tests/work-near-upstreams.steps.ts
+++ b/packages/gateway/tests/work-near-upstreams.steps.ts
@@ -159,11 +159,11 @@
   access: Access,
   startedAt: number,
 ): Promise<void> {
-  const { board, directory, reach, metrics, log } = context;
+  const { board, directory, reachability, metrics, log } = context;
   const local = new LocalExecutor(context);
   const home = (group: GroupId): GroupHome => local.home(group);
   const calls = callsOf(world);
-  const shared = { board, local, home, calls, directory, reach, metrics, log };
+  const shared = { board, local, home, calls, directory, reachability, metrics, log };
   await new RoutedExecutor({ ...shared, startedAt }).run(jobOf(access));
 }
 
