--- a/packages/proxy/src/commands/exit-code.ts
+++ b/packages/proxy/src/commands/exit-code.ts
@@ -1,10 +1,10 @@
 /** Exit codes of the `gladespool` command. */
 export enum ExitCode {
   Ok = 0,
-  /** A fault while running. */
+  /** A runtime error. */
   Fault = 1,
-  /** The settings have faults. */
+  /** The settings file is missing or invalid. */
   BadSettings = 2,
-  /** An address can't be listened on. */
+  /** Listening on an address or port failed. */
   CannotListen = 3,
 }
--- a/packages/proxy/src/commands/load-settings.ts
+++ b/packages/proxy/src/commands/load-settings.ts
@@ -1,12 +1,12 @@
 /**
- * Reads a settings file and prints its faults.
+ * Reads a settings file and prints its errors.
  */
 import { readFile } from 'node:fs/promises';
 import type { Writable } from 'node:stream';
 import type { HostSettings } from '@gladespool/protocol';
 import { formatFault, readHostSettings } from '@gladespool/protocol';
 
-/** Settings of a file; undefined after printing what is wrong with it. */
+/** Returns the settings in a file, or undefined after printing its errors to `stderr`. */
 export async function loadSettings(
   file: string,
   stderr: Writable,
--- a/packages/proxy/src/commands/settings-command.ts
+++ b/packages/proxy/src/commands/settings-command.ts
@@ -7,7 +7,7 @@
 import { ExitCode } from './exit-code.js';
 import { loadSettings } from './load-settings.js';
 
-/** Checks a settings file. */
+/** Validates a settings file. */
 export class SettingsCheckCommand extends Command {
   static override paths = [['settings', 'check']];
 
--- a/packages/proxy/src/control/bundle-service.ts
+++ b/packages/proxy/src/control/bundle-service.ts
@@ -1,6 +1,7 @@
 /**
- * Puts bundles in force: checks version and signatures, fetches the parts it lacks, and never goes
- * back. Heads come from the store (relays) or from relays (everyone).
+ * Installs configuration bundles: verifies version and signatures, fetches missing parts, and never
+ * installs an older version than the current one. Relays receive bundle heads from the store, all
+ * hosts receive them from relays.
  */
 import type { Blackboard, GroupSpec } from '@gladespool/coordination';
 import type { HostMetrics, Logger } from '@gladespool/observability';
@@ -19,17 +20,17 @@
 import type { PeerHandler, PeerLink } from '@gladespool/peers';
 import { trustAfterChain } from './trust-chain.js';
 
-/** Fetches parts by hash; parts not found are left out. */
+/** Fetches the texts of parts by hash; parts that are not found are omitted. */
 export type PartFetch = (hashes: readonly string[]) => Promise<readonly string[]>;
 
 /** Options of the service. */
 export interface BundleServiceOptions {
   readonly board: Blackboard;
-  /** Operators trusted before any bundle is held. */
+  /** Operators that are trusted until the first bundle is installed. */
   readonly root: TrustRoot;
   readonly metrics: HostMetrics;
   readonly log: Logger;
-  /** Called with the head once it is in force. */
+  /** Called with the head and version of a bundle after it has been installed. */
   readonly onInForce: (head: string, version: number) => void;
 }
 
@@ -37,13 +38,13 @@
   readonly head: string;
   readonly manifest: Manifest;
   readonly fetch: PartFetch;
-  /** Texts of parts that came with the head. */
+  /** Texts of the parts that were sent together with the head. */
   readonly fresh: readonly string[];
 }
 
 const ASK_TIMEOUT_MS = 5000;
 
-/** Bundle in force on one host. */
+/** Holds the installed bundle of one host and installs newer ones. */
 export class BundleService implements PeerHandler {
   private readonly parts = new Map<string, string>();
   private readonly groups = new Map<string, readonly GroupSpec[]>();
@@ -59,27 +60,27 @@
     this.trust = options.root;
   }
 
-  /** Version in force; 0 for none. */
+  /** Version of the installed bundle; 0 if there is none. */
   get inForce(): number {
     return this.version;
   }
 
-  /** Head in force. */
+  /** Head of the installed bundle. */
   get head(): string | undefined {
     return this.headInForce;
   }
 
-  /** Text of a part that this host holds. */
+  /** Returns the text of a part that this host holds. */
   part(hash: string): string | undefined {
     return this.parts.get(hash);
   }
 
-  /** Takes a head from a link; parts are asked for on the same link. */
+  /** Offers a head that was received on a link; missing parts are requested on the same link. */
   offerFromLink(head: string, link: PeerLink): void {
     this.offer(head, (hashes) => this.ask(link, hashes));
   }
 
-  /** Takes a head; older versions and wrong signatures change nothing. */
+  /** Installs the bundle of a head, unless its version is not newer or its signatures are not valid. */
   offer(text: string, fetch: PartFetch): void {
     const head = decodeHead(text);
     const manifest = head && readManifest(head.manifest);
@@ -157,7 +158,7 @@
     this.options.onInForce(candidate.head, version);
   }
 
-  /** Reads the parts; those that did not change since the last bundle are not read again. */
+  /** Parses the parts; parts that are unchanged since the last bundle are not parsed again. */
   private read(version: number, hashes: readonly string[]): Bundle | undefined {
     const [first = '', ...others] = hashes;
     const core = readBundleCore(`bundle ${version}`, this.parts.get(first) ?? '');
--- a/packages/proxy/src/control/first-record.ts
+++ b/packages/proxy/src/control/first-record.ts
@@ -1,13 +1,15 @@
 /**
- * The first record of a group: the platform's groups come with a primary, which is found by asking.
+ * Initial record of a group. The platform creates groups with a primary, which is found by querying
+ * the status of the upstreams.
  */
 import type { GroupRecord, GroupSpec, HostId, UpstreamReport } from '@gladespool/coordination';
 import { comparePositions, GroupPhase, majorityOf, UpstreamRole } from '@gladespool/coordination';
 
 /**
- * Record for a group that has none.
+ * Returns the initial record for a group that has none yet.
  *
- * @returns undefined while no majority of the upstreams answered or none of them is a primary.
+ * @returns undefined while fewer than a majority of the upstreams have reported, or none of them is a
+ * primary.
  */
 export function firstRecord(
   spec: GroupSpec,
--- a/packages/proxy/src/control/membership-service.ts
+++ b/packages/proxy/src/control/membership-service.ts
@@ -1,6 +1,7 @@
 /**
- * The member side of control traffic: sends heartbeats to the relays of its zone, and as a relay to
- * those of other zones; keeps each relay's view apart and joins them on the blackboard.
+ * Member side of the control traffic: sends heartbeats to the relays of its own zone and, while this
+ * host is a relay, to one relay of each other zone. Keeps a separate view per relay and publishes
+ * the merged view on the blackboard.
  */
 import type { AzId, Blackboard, GroupRecord, HostId, Member } from '@gladespool/coordination';
 import {
@@ -19,36 +20,36 @@
 import type { PeerHandler, PeerLink, PeerNetwork } from '@gladespool/peers';
 import { membersOf } from './news-frame.js';
 
-/** Times of membership. */
+/** Timing and number of relays. */
 export interface MembershipRules {
   readonly heartbeatMs: number;
   readonly expireMs: number;
   readonly relays: number;
 }
 
-/** Takes what relays tell beside members. */
+/** Receives the updates from relays that go beyond the members of this zone. */
 export interface NewsListener {
   onRecord(record: GroupRecord): void;
   onBundleHead(head: string, link: PeerLink): void;
-  /** News about members of another zone, told by its relays. */
+  /** Called with a member of another zone that a relay of that zone reported. */
   onForeignMember(member: Member): void;
 }
 
-/** Options of membership. */
+/** Options of the membership service. */
 export interface MembershipOptions {
   readonly board: Blackboard;
   readonly network: PeerNetwork;
   readonly self: () => Member;
   readonly rules: MembershipRules;
-  /** Other zones whose relays this host exchanges news with while it is a relay. */
+  /** Other zones with whose relays this host exchanges updates while it is a relay. */
   readonly exchangeZones: () => readonly AzId[];
   readonly listener: NewsListener;
   readonly log: Logger;
 }
 
-/** Looks for a due heartbeat so often in each base interval. */
+/** Number of checks for a due heartbeat per base interval. */
 const TICKS_PER_BEAT = 4;
-/** Timers fire a little early or late. */
+/** Tolerance for timers that fire slightly early or late. */
 const TICK_SLACK_MS = 5;
 
 interface RelayView {
@@ -59,16 +60,16 @@
   members: Map<HostId, Member>;
 }
 
-/** Membership of one host. */
+/** Membership service of one host. */
 export class MembershipService implements PeerHandler {
   private readonly views = new Map<HostId, RelayView>();
-  /** Hosts that did not answer, with the time until which they are not asked. */
+  /** Unresponsive hosts, with the time until which they are not used as relays. */
   private readonly silent = new Map<HostId, number>();
   private readonly askedAt = new Map<HostId, number>();
   private listed: readonly ListedHost[] = [];
   private readonly timer: NodeJS.Timeout;
   private readonly loop: EventLoopMonitor;
-  /** Whether hosts that don't answer count as silent; not right after a pause of this process. */
+  /** Whether hosts may be marked unresponsive; false right after a pause of this process. */
   private mayJudge = true;
   private readonly startedAt = performance.now();
   private lastBeatAt = Number.NEGATIVE_INFINITY;
@@ -82,22 +83,22 @@
     }, tickMs);
   }
 
-  /** Whether this host is a relay of its zone as it sees it. */
+  /** Whether this host is a relay of its zone, according to its own view. */
   get isRelay(): boolean {
     return this.relaysIn(this.options.board.az).includes(this.options.board.host);
   }
 
-  /** Whether this host is the preferred relay of its zone as it sees it. */
+  /** Whether this host is the preferred relay of its zone, according to its own view. */
   get isFirstRelay(): boolean {
     return this.relaysIn(this.options.board.az)[0] === this.options.board.host;
   }
 
-  /** Zones that the platform lists. */
+  /** Zones in the host list of the platform. */
   get listedZones(): readonly AzId[] {
     return [...new Set(this.listed.map((host) => host.az))];
   }
 
-  /** Takes the platform's list: a hint whom to ask, never evidence. */
+  /** Stores the platform's host list, which only serves to find relays, never as evidence of membership. */
   putListed(hosts: readonly ListedHost[]): void {
     this.listed = hosts;
     if (this.views.size === 0) this.beat(performance.now());
@@ -111,7 +112,7 @@
     if (now - this.lastBeatAt >= interval - TICK_SLACK_MS) this.beat(now);
   }
 
-  /** Sends heartbeats now. */
+  /** Sends heartbeats immediately. */
   beat(now: number): void {
     this.lastBeatAt = now;
     if (this.mayJudge) this.noteSilence(now);
@@ -139,7 +140,7 @@
     clearInterval(this.timer);
   }
 
-  /** Relays of a zone by what this host knows, those that don't answer left out. */
+  /** Relays of a zone among the hosts known here, without unresponsive ones. */
   private relaysIn(az: AzId): readonly HostId[] {
     const known = new Set<HostId>(activeHosts(this.options.board.members, az));
     for (const host of this.listed) if (host.az === az && !host.leaving) known.add(host.host);
@@ -188,7 +189,7 @@
     if (frame.members.length > 0) this.publish();
   }
 
-  /** A relay passes on what relays of other zones say about their own members. */
+  /** On a relay, forwards what relays of other zones report about members of their own zone. */
   private tellForeign(view: RelayView, member: Member): void {
     const isForeign = view.az !== this.options.board.az && member.az === view.az;
     if (isForeign && this.isRelay) this.options.listener.onForeignMember(member);
@@ -204,7 +205,7 @@
     return view;
   }
 
-  /** Leaves out hosts that have not answered for too long, for a while. */
+  /** Excludes hosts for one expiry time that have not replied for that long, and drops their expired views. */
   private noteSilence(now: number): void {
     const { expireMs } = this.options.rules;
     for (const [host, until] of this.silent) if (now >= until) this.silent.delete(host);
@@ -221,7 +222,7 @@
     }
   }
 
-  /** A foreign zone whose relays are silent: its hosts can't be reached from here. */
+  /** Marks the hosts of another zone as gone when all of its relays are unreachable from here. */
   private loseZone(lost: RelayView): void {
     const others = [...this.views.values()].some((view) => view.az === lost.az);
     if (others || !this.isRelay) return;
@@ -231,8 +232,10 @@
   }
 
   /**
-   * A host that has heard no relay yet would take every home of its zone; it waits for the first
-   * news unless the platform lists nobody else there, or nobody answers for the expiry time.
+   * Whether the members of this zone are known. A host that has not yet received updates from a relay
+   * would consider itself the home of every group of its zone. It therefore waits for the first
+   * updates, unless the platform lists no other host in the zone or nobody replies within the expiry
+   * time.
    */
   private knowsMembers(viewsHeard: number): boolean {
     const { board, rules } = this.options;
--- a/packages/proxy/src/control/news-board.ts
+++ b/packages/proxy/src/control/news-board.ts
@@ -1,6 +1,7 @@
 /**
- * What a relay tells hosts: members, group records and the bundle's head, each under the counter at
- * which it last changed, so that a host that heard up to some counter gets only what came later.
+ * State that a relay distributes to hosts: members, group records and the head of the bundle. Each item
+ * is stored with the counter value of its last change, so that a host that has received updates up to
+ * some counter is sent only later ones.
  */
 import type { GroupId, GroupRecord, HostId, Member } from '@gladespool/coordination';
 import { compareRecords, sameMember } from '@gladespool/coordination';
@@ -10,7 +11,7 @@
   readonly at: number;
 }
 
-/** News after some counter. */
+/** Updates after some counter value. */
 export interface News {
   readonly members: readonly Member[];
   readonly records: readonly GroupRecord[];
@@ -18,19 +19,19 @@
   readonly upTo: number;
 }
 
-/** News of one relay. */
+/** Updates that one relay distributes. */
 export class NewsBoard {
   private readonly members = new Map<HostId, Counted<Member>>();
   private readonly records = new Map<GroupId, Counted<GroupRecord>>();
   private bundle: Counted<string> | undefined;
   private counter = 0;
 
-  /** Counter of the latest change. */
+  /** Counter value of the latest change. */
   get upTo(): number {
     return this.counter;
   }
 
-  /** Notes a member; true when it is news. */
+  /** Stores a member; returns whether it changed. */
   putMember(member: Member): boolean {
     const held = this.members.get(member.host);
     if (held !== undefined && sameMember(held.item, member)) return false;
@@ -39,7 +40,7 @@
     return true;
   }
 
-  /** Notes a record; true when it is newer than the one held. */
+  /** Stores a record; returns whether it is newer than the stored one. */
   putRecord(record: GroupRecord): boolean {
     const held = this.records.get(record.group);
     if (held !== undefined && compareRecords(record, held.item) <= 0) return false;
@@ -47,12 +48,12 @@
     return true;
   }
 
-  /** Notes the head of a bundle that came into force. */
+  /** Stores the head of a newly installed bundle. */
   putBundle(head: string): void {
     this.bundle = this.count(head);
   }
 
-  /** Everything that changed after `heard`. */
+  /** Returns all items that changed after the counter value `heard`. */
   after(heard: number): News {
     if (heard >= this.counter) return { ...NOTHING, upTo: this.counter };
     return {
--- a/packages/proxy/src/control/news-frame.ts
+++ b/packages/proxy/src/control/news-frame.ts
@@ -1,5 +1,5 @@
 /**
- * News between its typed form and frames.
+ * Conversion of updates to and from frames.
  */
 import type { Member } from '@gladespool/coordination';
 import { azId, hostId } from '@gladespool/coordination';
@@ -9,7 +9,7 @@
 
 type NewsFrame = FrameOf<FrameKind.Updates>;
 
-/** Frame that carries news of the relay with this incarnation. */
+/** Returns a frame with updates of the relay with this incarnation. */
 export function newsFrame(news: News, incarnation: number): NewsFrame {
   const { members, records, bundle, upTo } = news;
   const frame: NewsFrame = {
@@ -22,7 +22,7 @@
   return bundle === undefined ? frame : { ...frame, bundle };
 }
 
-/** Members of a frame. */
+/** Returns the members of a frame. */
 export function membersOf(frame: NewsFrame): readonly Member[] {
   return frame.members.map((member) => ({
     ...member,
--- a/packages/proxy/src/control/promotion-runner.ts
+++ b/packages/proxy/src/control/promotion-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out the steps of one promotion: swaps and reads on the store, fences and promotes on the
- * upstreams, each outcome fed back to the state machine.
+ * Executes the actions of one promotion: swaps and reads in the store, fences and promotes upstreams,
+ * and feeds each outcome back to the state machine.
  */
 import type {
   GroupRecord,
@@ -19,21 +19,21 @@
 import type { ControlResult } from '@gladespool/upstreams';
 import { fenceSql, promoteSql } from '@gladespool/upstreams';
 
-/** How a promotion reaches the outside. */
+/** Store, upstreams and log that a promotion uses, and its time limits. */
 export interface PromotionPorts {
   readonly store: PlatformStore;
   /** Runs a control statement on an upstream. */
   readonly control: (upstream: UpstreamId, sql: string) => Promise<ControlResult>;
   readonly log: Logger;
-  /** Longest time of one attempt, milliseconds. */
+  /** Time limit of one attempt, milliseconds. */
   readonly timeoutMs: number;
-  /** Longest wait for upstreams that need not be avoided, milliseconds. */
+  /** Maximum wait for upstreams that are not to be avoided, milliseconds. */
   readonly graceMs: number;
 }
 
 const READ_RETRY_MS = 50;
 
-/** Times of the parts of a promotion, milliseconds. */
+/** Time from the start of an attempt until each stage was reached, milliseconds; 0 if not reached. */
 export interface PromotionTimes {
   readonly claimedMs: number;
   readonly fencedMs: number;
@@ -41,13 +41,13 @@
   readonly publishedMs: number;
 }
 
-/** Outcome of an attempt. */
+/** Final state and timing of an attempt. */
 export interface PromotionResult {
   readonly state: PromotionState;
   readonly times: PromotionTimes;
 }
 
-/** Runs one attempt to its end. */
+/** Runs one attempt until it is done or abandoned. */
 export function runPromotion(
   start: PromotionStart,
   ports: PromotionPorts,
@@ -132,7 +132,7 @@
     return { kind: result.value === SwapOutcome.Swapped ? 'swapped' : 'conflict' };
   }
 
-  /** Reads until the store answers; the attempt's own time limit ends it. */
+  /** Retries the read until the store replies or the time limit of the attempt expires. */
   private async readRecord(): Promise<PromotionEvent> {
     for (;;) {
       const result = await this.ports.store.read(recordKey(this.state.record.group));
@@ -145,7 +145,7 @@
     }
   }
 
-  /** Fences one upstream, again and again while the attempt needs more of them. */
+  /** Fences one upstream; retries while the attempt is in the fencing stage. */
   private async fence(upstream: UpstreamId, term: number): Promise<void> {
     while (this.state.stage === PromotionStage.Fencing) {
       const result = await this.ports.control(upstream, fenceSql(term));
--- a/packages/proxy/src/control/promotion-service.ts
+++ b/packages/proxy/src/control/promotion-service.ts
@@ -1,6 +1,6 @@
 /**
- * Watches the primaries of the groups that this host is a home of, and orders promotions, planned
- * handovers and the first record of a group. Nobody else orders any.
+ * Monitors the primaries of the groups that this host is a home of, and starts promotions, planned
+ * handovers and the initial record of a group. No other component starts any of these.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type {
@@ -48,18 +48,18 @@
 import { runPromotion } from './promotion-runner.js';
 import { SuspicionPoll } from './suspicion-poll.js';
 
-/** Times and bounds of promotions. */
+/** Timing and limits of promotions. */
 export interface PromotionRules {
   readonly homesPerGroup: number;
   readonly suspectAfterMs: number;
   readonly damping: DampingRules;
-  /** Longest time of one attempt, milliseconds. */
+  /** Time limit of one attempt, milliseconds. */
   readonly attemptTimeoutMs: number;
-  /** Longest wait for a majority without the suspect, milliseconds. */
+  /** Maximum wait for a majority that excludes the suspected primary, milliseconds. */
   readonly graceMs: number;
-  /** Time after which an unfinished attempt of another host is taken over, milliseconds. */
+  /** Time after which this host takes over an unfinished attempt of another host, milliseconds. */
   readonly stalledAfterMs: number;
-  /** Longest wait for open transactions in a planned handover, milliseconds. */
+  /** Maximum wait for open transactions and replication during a planned handover, milliseconds. */
   readonly handoverWaitMs: number;
 }
 
@@ -78,19 +78,19 @@
 interface GroupProgress {
   busy: boolean;
   attempts: number;
-  /** Local time before which no attempt starts. */
+  /** Earliest local time of the next attempt. */
   notBefore: number;
   readonly followedAt: Map<UpstreamId, number>;
 }
 
 const TICK_MS = 50;
-/** A home seconds another's suspicion after this share of the time that its own would need. */
+/** Share of the suspicion time after which a home confirms the suspicion of another home. */
 const SECONDING_SHARE = 0.5;
 const FOLLOW_INTERVAL_MS = 1000;
 const DRAIN_POLL_MS = 20;
 const FIRST_RECORD_RETRY_MS = 500;
 
-/** Promotions ordered by one host. */
+/** Starts and carries out promotions on one host. */
 export class PromotionService implements PeerHandler {
   private readonly poll: SuspicionPoll;
   private readonly progress = new Map<GroupId, GroupProgress>();
@@ -112,7 +112,7 @@
   }
 
   onLost(): void {
-    // News of records that were lost with a link arrive through relays.
+    // Record updates that were lost with a link arrive through relays.
   }
 
   stop(): void {
@@ -159,7 +159,7 @@
     return home.unconfirmableMs(spec, record, now) > needed;
   }
 
-  /** Whether another host's attempt was begun and not finished in time. */
+  /** Whether an attempt has not finished in time after it began to fence. */
   private isStalled(home: GroupHome, record: GroupRecord, now: number): boolean {
     if (record.phase !== GroupPhase.Fencing) return false;
     const since = home.context.board.record(home.group)?.since ?? now;
@@ -174,7 +174,7 @@
     return silentMs > this.options.rules.suspectAfterMs * SECONDING_SHARE;
   }
 
-  /** Asks the homes of other zones; attempts when a majority of the zones agrees. */
+  /** Polls the homes of other zones and attempts a promotion if a majority of the zones agrees. */
   private async consult(
     home: GroupHome,
     spec: GroupSpec,
@@ -275,7 +275,7 @@
     this.announce(spec, state.record);
   }
 
-  /** Tells this host and the homes of every zone at once; relays tell the others. */
+  /** Notifies this host and the homes of all zones immediately; relays notify all other hosts. */
   private announce(spec: GroupSpec, record: GroupRecord): void {
     this.options.onRecord(record);
     const news = {
@@ -286,7 +286,10 @@
     for (const member of this.homesEverywhere(spec)) void network.sendTo(member, news);
   }
 
-  /** Planned handover: no new transactions, open ones end, the successor catches up, promotion. */
+  /**
+   * Planned handover: blocks new transactions, waits until open ones have ended and a replica has
+   * caught up, then promotes.
+   */
   private async handOver(
     home: GroupHome,
     spec: GroupSpec,
@@ -320,7 +323,7 @@
     }
   }
 
-  /** Writes the first record of a group that has none. */
+  /** Writes the initial record of a group that has none yet. */
   private async begin(
     home: GroupHome,
     spec: GroupSpec,
@@ -363,7 +366,7 @@
     return swapped.isOk() && swapped.value === SwapOutcome.Swapped;
   }
 
-  /** Tells replicas and returned primaries to follow the record's primary. */
+  /** Repoints replicas and returned former primaries to the primary of the record. */
   private follow(
     home: GroupHome,
     spec: GroupSpec,
@@ -393,7 +396,10 @@
     return fresh;
   }
 
-  /** Place of this host among all homes of the group; rank delays attempts, so that one acts. */
+  /**
+   * Rank of this host among all homes of the group. Attempts are delayed by rank so that normally only
+   * one home acts.
+   */
   private rank(spec: GroupSpec): number {
     const { board } = this.options.homes.context;
     const hosts = this.homesEverywhere(spec).map((member) => member.host);
--- a/packages/proxy/src/control/relay-service.ts
+++ b/packages/proxy/src/control/relay-service.ts
@@ -1,7 +1,7 @@
 /**
- * The relay side of control traffic: takes heartbeats, judges who lives, answers with news, and
- * pushes news at once to every host that sends heartbeats here. Every host can be a relay; which
- * ones are follows from membership.
+ * Relay side of the control traffic: receives heartbeats, tracks which hosts are live, replies with
+ * updates, and pushes updates without waiting for the next heartbeat to every host that sends
+ * heartbeats to it. Every host can be a relay; membership determines which hosts are.
  */
 import type { AzId, TrackedMember, HostId, Member } from '@gladespool/coordination';
 import {
@@ -18,14 +18,14 @@
 import { NewsBoard } from './news-board.js';
 import { newsFrame } from './news-frame.js';
 
-/** Times of a relay. */
+/** Timing of a relay. */
 export interface RelayRules {
   readonly expireMs: number;
-  /** Changes within this time go out together, milliseconds. */
+  /** Changes within this time are sent together, milliseconds. */
   readonly pushDelayMs: number;
 }
 
-/** Parts of a bundle by hash, as the relay holds them. */
+/** Returns the text of a bundle part by its hash; undefined if the relay does not hold it. */
 export type PartSource = (hash: string) => string | undefined;
 
 /** Relay role of one host. */
@@ -52,12 +52,12 @@
     }, checkMs);
   }
 
-  /** Hosts that send heartbeats here. */
+  /** Number of links that heartbeats arrive on and that receive updates. */
   get subscribers(): number {
     return this.sentUpTo.size;
   }
 
-  /** Live hosts heard of this zone with the bundle version that each has in force. */
+  /** Live hosts of this zone and the bundle version that each of them has installed. */
   get hostVersions(): ReadonlyMap<HostId, number> {
     const live = [...this.heard.values()].filter(({ member }) => member.state !== MemberState.Gone);
     return new Map(live.map(({ member }) => [member.host, this.versions.get(member.host) ?? 0]));
@@ -72,7 +72,7 @@
     this.sentUpTo.delete(link);
   }
 
-  /** Tells subscribers of changes on the news board, soon and together. */
+  /** Sends pending updates to all subscribers after the push delay, so that changes are batched. */
   push(): void {
     this.pushTimer ??= setTimeout(() => {
       this.pushTimer = undefined;
--- a/packages/proxy/src/control/run-control.ts
+++ b/packages/proxy/src/control/run-control.ts
@@ -1,19 +1,19 @@
 /**
- * Control statements of a promotion, on the connections that a home holds for them.
+ * Runs the control statements of a promotion on the control connections of a home.
  */
 import type { UpstreamId } from '@gladespool/coordination';
 import { gladespoolError, Step } from '@gladespool/coordination';
 import type { ControlResult, UpstreamControl } from '@gladespool/upstreams';
 import { err } from 'neverthrow';
 
-/** A home as far as control statements are concerned. */
+/** Part of a home that provides control connections. */
 export interface ControlledHome {
   control(upstream: UpstreamId): Pick<UpstreamControl, 'run'> | undefined;
 }
 
 /**
- * Runs a control statement. A home that stops or loses an upstream while a promotion is under way has no
- * connection for it; that is an answer which did not come, like any other.
+ * Runs a control statement. A home that stops or loses an upstream during a promotion has no connection
+ * for it; this is reported as an error, like any other missing reply.
  */
 export function runControl(
   home: ControlledHome,
--- a/packages/proxy/src/control/store-relay.ts
+++ b/packages/proxy/src/control/store-relay.ts
@@ -1,5 +1,5 @@
 /**
- * Holds the store's watch while this host is a relay, and brings what it tells to this host.
+ * Watches the platform's store while this host is a relay, and passes its values on to this host.
  */
 import type { GroupRecord } from '@gladespool/coordination';
 import { RetryReason } from '@gladespool/coordination';
@@ -14,24 +14,24 @@
 } from '@gladespool/protocol';
 import type { PartFetch } from './bundle-service.js';
 
-/** Takes what the store holds. */
+/** Receives bundle heads and group records from the store. */
 export interface StoreNewsListener {
   onBundleHead(head: string, fetch: PartFetch): void;
   onRecord(record: GroupRecord, revision: number): void;
 }
 
-/** Options of the relay's store side. */
+/** Options of the store watch. */
 export interface StoreRelayOptions {
   readonly store: PlatformStore;
   readonly listener: StoreNewsListener;
   readonly metrics: HostMetrics;
   readonly log: Logger;
-  /** Shortest and longest pause before a lost watch is opened anew, milliseconds. */
+  /** Initial and maximum delay before a lost watch is reopened, milliseconds; doubles with each failure. */
   readonly retryMs: number;
   readonly maxRetryMs: number;
 }
 
-/** Watch on the platform's store. */
+/** Keeps a watch on the platform's store open while it is active. */
 export class StoreRelay {
   private stopWatch: (() => void) | undefined;
   private retryTimer: NodeJS.Timeout | undefined;
@@ -39,12 +39,12 @@
 
   constructor(private readonly options: StoreRelayOptions) {}
 
-  /** Whether the watch is wanted. */
+  /** Whether the watch is open or about to be reopened. */
   get active(): boolean {
     return this.stopWatch !== undefined || this.retryTimer !== undefined;
   }
 
-  /** Starts or ends the watch. */
+  /** Starts or stops the watch. */
   setActive(wanted: boolean): void {
     if (wanted === this.active) return;
     if (wanted) this.open();
@@ -76,11 +76,11 @@
     });
   }
 
-  /** Reads everything once the watch stands, so that nothing falls between. */
+  /** Reads all values after the watch is open, so that no change between read and watch is missed. */
   private async readAll(): Promise<void> {
     const watch = this.stopWatch;
     const values = await this.options.store.readPrefix(WATCHED_PREFIX);
-    // A relay that was stopped meanwhile would open its watch again, for good.
+    // Without this check, a relay stopped during the read would reopen its watch and never close it.
     if (watch === undefined || this.stopWatch !== watch) return;
     if (values.isOk()) {
       for (const value of values.value) this.take(value);
--- a/packages/proxy/src/control/suspicion-poll.ts
+++ b/packages/proxy/src/control/suspicion-poll.ts
@@ -1,17 +1,17 @@
 /**
- * Asks homes of other zones whether they suspect a primary too, and answers them.
+ * Requests from homes in other zones whether they also suspect a primary, and replies to their requests.
  */
 import type { AzId, GroupId, Member, ZoneVote } from '@gladespool/coordination';
 import type { Frame } from '@gladespool/protocol';
 import { FrameKind, TimeLimit } from '@gladespool/protocol';
 import type { PeerHandler, PeerLink, PeerNetwork } from '@gladespool/peers';
 
-/** Tells whether this host, as a home of the group, suspects the primary of a term. */
+/** Returns whether this host, as a home of the group, suspects the primary of a term. */
 export type OwnOpinion = (group: string, term: number) => boolean;
 
 const ANSWER_TIMEOUT_MS = 400;
 
-/** Exchange of opinions. */
+/** Collects the votes of other zones on a suspected primary. */
 export class SuspicionPoll implements PeerHandler {
   private readonly pending = new Map<number, (suspects: boolean) => void>();
   private lastId = 0;
@@ -23,7 +23,7 @@
     network.addHandler(this);
   }
 
-  /** Opinion of each home that answered in time. */
+  /** Requests the vote of each home; homes that do not reply in time are omitted. */
   async ask(group: GroupId, term: number, homes: readonly Member[]): Promise<readonly ZoneVote[]> {
     const answers = homes.map((home) => this.askOne(group, term, home));
     const opinions = await Promise.all(answers);
@@ -39,7 +39,7 @@
   }
 
   onLost(): void {
-    // Answers that were lost with a link time out like any other.
+    // Requests whose reply was lost with the link time out like any other.
   }
 
   private askOne(group: GroupId, term: number, home: Member): Promise<ZoneVote | undefined> {
--- a/packages/proxy/src/control/trust-chain.ts
+++ b/packages/proxy/src/control/trust-chain.ts
@@ -1,7 +1,7 @@
 /**
- * Follows changes of operators: each link of the chain is a head that changed who may sign, signed
- * by those who could before. A host that holds an old bundle, or only its settings, learns in this
- * way whose signatures count now.
+ * Follows changes of the trusted operators. Each link of the chain is a head that changed the operators,
+ * signed by the operators trusted before it. A host that holds an old bundle, or only its settings,
+ * derives the currently trusted operators from the chain.
  */
 import type { ChainLink, TrustRoot } from '@gladespool/protocol';
 import {
@@ -13,11 +13,11 @@
 } from '@gladespool/protocol';
 
 /**
- * Trust in force for a head of `version`.
+ * Returns the operators that must sign a head of `version`.
  *
- * @param trust - operators trusted after version `since`
- * @returns `trust` followed through every valid link between `since` and `version`; the first link
- * that isn't authorized ends the walk.
+ * @param trust - operators trusted as of version `since`
+ * @returns `trust` updated by every valid link between `since` and `version`, up to the first link
+ * that is not authorized.
  */
 export function trustAfterChain(
   trust: TrustRoot,
--- a/packages/proxy/src/control/zone-status.ts
+++ b/packages/proxy/src/control/zone-status.ts
@@ -1,6 +1,7 @@
 /**
- * Reports which bundle version is in force in this zone: one small key, written by the zone's first
- * relay and only when it changes, so that the store's writes grow with zones, not with hosts.
+ * Reports the installed bundle version of this zone. Only the zone's first relay writes the report,
+ * to one small key and only on changes, so that the number of store writes grows with the number of
+ * zones rather than hosts.
  */
 import type { AzId, HostId } from '@gladespool/coordination';
 import type { PlatformStore } from '@gladespool/platform';
@@ -11,18 +12,18 @@
 export interface ZoneStatusOptions {
   readonly az: AzId;
   readonly store: PlatformStore;
-  /** Version in force here; 0 for none. */
+  /** Version of the bundle installed on this host; 0 if there is none. */
   readonly version: () => number;
   readonly hostVersions: () => ReadonlyMap<HostId, number>;
-  /** Whether this host is the one to report. */
+  /** Whether this host writes the report of its zone. */
   readonly reports: () => boolean;
   readonly intervalMs: number;
 }
 
-/** Hosts named as lagging at most; their number is told by the metric of each host. */
+/** Maximum number of lagging hosts in a report; the metric of each host gives the full count. */
 const MOST_NAMED = 20;
 
-/** Writes the zone's report. */
+/** Writes the status report of the zone to the store. */
 export class ZoneStatusReporter {
   private written = '';
   private busy = false;
--- a/packages/proxy/src/host.ts
+++ b/packages/proxy/src/host.ts
@@ -1,5 +1,5 @@
 /**
- * One entry host: puts the parts together around a blackboard.
+ * One entry host: creates its services around a shared blackboard and connects them.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { Socket } from 'node:net';
@@ -37,7 +37,7 @@
 import { StatusServer } from './http/status-server.js';
 import { PeerNetwork } from '@gladespool/peers';
 
-/** Ways out of a host; tests and experiments put their own in place. */
+/** Outgoing network access of a host; tests and experiments substitute their own. */
 export interface HostPorts {
   /** Opens a connection. */
   readonly dial: (port: number, address: string) => Socket;
@@ -51,13 +51,13 @@
   readonly ports?: HostPorts;
   readonly tls?: CallerTls;
   readonly routing?: ReadRouting;
-  /** Seed of every random choice of this host. */
+  /** Seed of the random number generators of this host. */
   readonly seed: number;
-  /** Start time of the process, milliseconds since the epoch; tells restarts apart. */
+  /** Start time of the process, milliseconds since the epoch; distinguishes restarts. */
   readonly incarnation: number;
 }
 
-/** Ports of plain sockets. */
+/** Network access through plain TCP sockets. */
 export const NET_PORTS: HostPorts = {
   dial: (port, address) => new NetSocket().connect(port, address),
   createSocket: () => new NetSocket(),
@@ -140,7 +140,7 @@
     });
   }
 
-  /** Starts to listen and joins the deployment. */
+  /** Opens the listening ports and joins the deployment. */
   async start(): Promise<void> {
     const { listen, hostList } = this.options.settings;
     await this.network.listen(listen.address, listen.peer_port);
@@ -155,7 +155,7 @@
     this.log.info('started', { caller_port: this.callers.port, peer_port: this.network.port });
   }
 
-  /** Planned stop: leaves, takes no new work, finishes what it has, then closes everything. */
+  /** Planned stop: announces that it leaves, accepts no new work, finishes its work, then stops. */
   async drain(): Promise<void> {
     const { drain_ms: drainMs } = this.options.settings.caller;
     this.log.info('draining');
@@ -167,7 +167,7 @@
     await this.stop();
   }
 
-  /** Closes everything at once. */
+  /** Closes all services and connections immediately. */
   async stop(): Promise<void> {
     clearInterval(this.listTimer);
     this.promotions.stop();
@@ -222,8 +222,8 @@
   }
 
   /**
-   * Takes a head from the store, but not before relays of the zone could tell of a newer one: a host
-   * that starts must not put in force what the others have left behind.
+   * Offers a head from the store, but only after relays of the zone could have reported a newer one: a
+   * starting host must not install a bundle version that the other hosts have already replaced.
    */
   private takeStoredHead(stored: StoredHead): void {
     if (this.board.membersKnown) this.bundle.offer(stored.head, stored.fetch);
@@ -273,7 +273,7 @@
     });
   }
 
-  /** Zones that share a group with this one; before a bundle is held, every zone listed. */
+  /** Other zones that share a group with this one; without a bundle, all other listed zones. */
   private exchangeZones(): readonly AzId[] {
     const { az } = this.options.settings;
     const groups = [...(this.board.bundle?.groups.values() ?? [])];
@@ -398,7 +398,7 @@
   }
 }
 
-/** A bundle's head read from the store, and how to get its parts. */
+/** Head of a bundle that was read from the store, with the function that fetches its parts. */
 interface StoredHead {
   readonly head: string;
   readonly fetch: PartFetch;
--- a/packages/proxy/src/http/status-server.ts
+++ b/packages/proxy/src/http/status-server.ts
@@ -1,5 +1,5 @@
 /**
- * HTTP side of a host for operators' tools: /metrics, /healthz, /readyz.
+ * HTTP endpoints of a host for operators' tools: /metrics, /healthz, /readyz.
  */
 import type { Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
@@ -9,11 +9,11 @@
 /** Options of the server. */
 export interface StatusServerOptions {
   readonly metrics: HostMetrics;
-  /** Why the host can't take callers; undefined when it can. */
+  /** Returns why the host cannot accept callers; undefined if it can. */
   readonly notReady: () => string | undefined;
 }
 
-/** Serves metrics and health. */
+/** Serves metrics, liveness and readiness over HTTP. */
 export class StatusServer {
   private readonly server: Server;
 
--- a/packages/proxy/tests/paused-relay.feature
+++ b/packages/proxy/tests/paused-relay.feature
@@ -1,6 +1,7 @@
 Feature: A relay that was paused reads what hosts sent before it takes them for gone
 
-  # Guards against a zone whose homes are all opened elsewhere since its relay stood still.
+  # If the process of a relay is paused, heartbeats stay unread in its sockets. A relay that expired its hosts
+  # before reading them would cause all homes of its zone to be opened on other hosts.
   Scenario: Heartbeats wait unread while the relay is paused
     Given a relay that hears a host
     When it is paused for longer than hosts may be silent
--- a/packages/proxy/tests/paused-relay.steps.ts
+++ b/packages/proxy/tests/paused-relay.steps.ts
@@ -8,7 +8,7 @@
 
 interface RelayWorld {
   relay: RelayService;
-  /** Whether the host counted as live when the relay was about to read. */
+  /** Whether the host was still live just before the relay resumed reading. */
   isLive: boolean;
 }
 
@@ -39,13 +39,13 @@
   await pause(1);
   const until = performance.now() + 2 * EXPIRE_MS;
   while (performance.now() < until);
-  // Timers that are due go off in their order, the relay's before this one.
+  // Due timers fire in order, so the relay's timer fires before this one.
   await pause(1);
   this.isLive = this.relay.hostVersions.has(HOST);
 });
 
 When('that host is silent', function () {
-  // It sends nothing more.
+  // The host sends no further heartbeats.
 });
 
 Then('the host still counts as live when the relay reads on', function (this: RelayWorld) {
--- a/packages/proxy/tests/run-control.steps.ts
+++ b/packages/proxy/tests/run-control.steps.ts
@@ -13,7 +13,7 @@
 
 const UPSTREAM = upstreamId('u1');
 
-/** Told by the connection itself, so that it shows whether the statement got there. */
+/** Error of the control connection itself; shows whether the statement reached the connection. */
 const TOLD = gladespoolError({ step: Step.UpstreamExchange, peer: UPSTREAM }, 'refused');
 
 Given(
--- a/packages/proxy/tests/store-relay.feature
+++ b/packages/proxy/tests/store-relay.feature
@@ -1,6 +1,7 @@
 Feature: A relay watches the store for as long as it is one
 
-  # Guards against hosts that go on watching the store after they have stopped, and test runs that never end.
+  # A read that fails after the stop must not schedule a retry: the host would keep watching the store, and a
+  # test run would never end.
   Scenario: It is stopped while it reads everything, and the read fails
     Given a relay whose watch is open, and that reads everything
     When it is stopped, and the read fails after that
--- a/packages/proxy/tests/store-relay.steps.ts
+++ b/packages/proxy/tests/store-relay.steps.ts
@@ -11,7 +11,7 @@
 
 interface StoreRelayWorld {
   storeRelay: StoreRelay;
-  /** Ends the read that is under way. */
+  /** Completes the pending read. */
   endRead: (result: Result<readonly StoredValue[], GladespoolError>) => void;
   watches: number;
 }
