--- a/packages/proxy/src/control/bundle-service.ts
+++ b/packages/proxy/src/control/bundle-service.ts
@@ -42,19 +42,20 @@
   readonly fresh: readonly string[];
 }
 
-const ASK_TIMEOUT_MS = 5000;
+const PART_REQUEST_TIMEOUT_MS = 5000;
 
 /** Holds the installed bundle of one host and installs newer ones. */
 export class BundleService implements PeerHandler {
   private readonly parts = new Map<string, string>();
   private readonly groups = new Map<string, readonly GroupSpec[]>();
   private trust: TrustRoot;
-  private trusted = 0;
+  private trustedVersion = 0;
   private version = 0;
   private headInForce: string | undefined;
   private installing: Candidate | undefined;
   private next: Candidate | undefined;
-  private waiting: { readonly link: PeerLink; readonly done: (texts: string[]) => void }[] = [];
+  private pendingRequests: { readonly link: PeerLink; readonly done: (texts: string[]) => void }[] =
+    [];
 
   constructor(private readonly options: BundleServiceOptions) {
     this.trust = options.root;
@@ -77,7 +78,7 @@
 
   /** Offers a head that was received on a link; missing parts are requested on the same link. */
   offerFromLink(head: string, link: PeerLink): void {
-    this.offer(head, (hashes) => this.ask(link, hashes));
+    this.offer(head, (hashes) => this.requestParts(link, hashes));
   }
 
   /** Installs the bundle of a head, unless its version is not newer or its signatures are not valid. */
@@ -96,19 +97,19 @@
 
   onFrame(link: PeerLink, frame: Frame): void {
     if (frame.kind !== FrameKind.PartReply) return;
-    const index = this.waiting.findIndex((entry) => entry.link === link);
-    const [entry] = index < 0 ? [] : this.waiting.splice(index, 1);
+    const index = this.pendingRequests.findIndex((entry) => entry.link === link);
+    const [entry] = index < 0 ? [] : this.pendingRequests.splice(index, 1);
     entry?.done(frame.parts.map((part) => part.text));
   }
 
   onLost(link: PeerLink): void {
-    const lost = this.waiting.filter((entry) => entry.link === link);
-    this.waiting = this.waiting.filter((entry) => entry.link !== link);
+    const lost = this.pendingRequests.filter((entry) => entry.link === link);
+    this.pendingRequests = this.pendingRequests.filter((entry) => entry.link !== link);
     for (const entry of lost) entry.done([]);
   }
 
   private authorize(head: BundleHead, manifest: Manifest): boolean {
-    const trust = trustAfterChain(this.trust, this.trusted, head.chain, manifest.version);
+    const trust = trustAfterChain(this.trust, this.trustedVersion, head.chain, manifest.version);
     const authorized = isAuthorized(head.manifest, signaturesOf(head), trust);
     if (!authorized) {
       const { version } = manifest;
@@ -136,22 +137,22 @@
     const missing = hashes.filter((hash) => !this.parts.has(hash));
     if (missing.length > 0) await this.fetchParts(candidate, missing);
     const { version } = candidate.manifest;
-    const lacking = hashes.filter((hash) => !this.parts.has(hash)).length;
-    if (lacking > 0) {
-      log.warn('bundle-incomplete', { version, missing: lacking });
+    const missingCount = hashes.filter((hash) => !this.parts.has(hash)).length;
+    if (missingCount > 0) {
+      log.warn('bundle-incomplete', { version, missing: missingCount });
       return;
     }
-    const bundle = this.read(version, hashes);
+    const bundle = this.parseBundle(version, hashes);
     if (bundle === undefined) {
       log.warn('bundle-refused', { reason: 'content', version });
       return;
     }
     const { operators, threshold, groups } = bundle;
     this.trust = { operators, threshold };
-    this.trusted = version;
+    this.trustedVersion = version;
     this.version = version;
     this.headInForce = candidate.head;
-    this.keepOnly(new Set(hashes));
+    this.removeOtherParts(new Set(hashes));
     board.putBundle(version, groups, performance.now());
     this.options.metrics.bundleVersion.set(version);
     log.info('bundle-in-force', { version, groups: groups.length, fetched: missing.length });
@@ -159,7 +160,7 @@
   }
 
   /** Parses the parts; parts that are unchanged since the last bundle are not parsed again. */
-  private read(version: number, hashes: readonly string[]): Bundle | undefined {
+  private parseBundle(version: number, hashes: readonly string[]): Bundle | undefined {
     const [first = '', ...others] = hashes;
     const core = readBundleCore(`bundle ${version}`, this.parts.get(first) ?? '');
     if (core.isErr() || core.value.version !== version) return undefined;
@@ -185,7 +186,7 @@
     for (const text of await candidate.fetch(hashes)) this.parts.set(hashPart(text), text);
   }
 
-  private keepOnly(hashes: ReadonlySet<string>): void {
+  private removeOtherParts(hashes: ReadonlySet<string>): void {
     for (const hash of this.parts.keys()) {
       if (hashes.has(hash)) continue;
       this.parts.delete(hash);
@@ -193,17 +194,17 @@
     }
   }
 
-  private ask(link: PeerLink, hashes: readonly string[]): Promise<readonly string[]> {
+  private requestParts(link: PeerLink, hashes: readonly string[]): Promise<readonly string[]> {
     return new Promise((resolve) => {
       const timer = setTimeout(() => {
-        this.waiting = this.waiting.filter((entry) => entry.done !== done);
+        this.pendingRequests = this.pendingRequests.filter((entry) => entry.done !== done);
         resolve([]);
-      }, ASK_TIMEOUT_MS);
+      }, PART_REQUEST_TIMEOUT_MS);
       const done = (texts: string[]): void => {
         clearTimeout(timer);
         resolve(texts);
       };
-      this.waiting.push({ link, done });
+      this.pendingRequests.push({ link, done });
       if (!link.send({ kind: FrameKind.PartRequest, hashes: [...hashes] })) this.onLost(link);
     });
   }
--- a/packages/proxy/src/control/first-record.ts
+++ b/packages/proxy/src/control/initial-record.ts
@@ -11,7 +11,7 @@
  * @returns undefined while fewer than a majority of the upstreams have reported, or none of them is a
  * primary.
  */
-export function firstRecord(
+export function initialRecord(
   spec: GroupSpec,
   reports: readonly UpstreamReport[],
   host: HostId,
--- a/packages/proxy/src/control/membership-service.ts
+++ b/packages/proxy/src/control/membership-service.ts
@@ -1,7 +1,7 @@
 /**
  * Member side of the control traffic: sends heartbeats to the relays of its own zone and, while this
- * host is a relay, to one relay of each other zone. Keeps a separate view per relay and publishes
- * the merged view on the blackboard.
+ * host is a relay, to the preferred relay of each zone that it exchanges updates with. Keeps a
+ * separate view per relay and publishes the merged view on the blackboard.
  */
 import type { AzId, Blackboard, GroupRecord, HostId, Member } from '@gladespool/coordination';
 import {
@@ -18,7 +18,7 @@
 import { FrameKind, toGroupRecord } from '@gladespool/protocol';
 import type { ListedHost } from '@gladespool/platform';
 import type { PeerHandler, PeerLink, PeerNetwork } from '@gladespool/peers';
-import { membersOf } from './news-frame.js';
+import { membersOf } from './updates-frame.js';
 
 /** Timing and number of relays. */
 export interface MembershipRules {
@@ -27,8 +27,8 @@
   readonly relays: number;
 }
 
-/** Receives the updates from relays that go beyond the members of this zone. */
-export interface NewsListener {
+/** Receives the records, bundle heads and members of other zones that relays report. */
+export interface UpdateListener {
   onRecord(record: GroupRecord): void;
   onBundleHead(head: string, link: PeerLink): void;
   /** Called with a member of another zone that a relay of that zone reported. */
@@ -43,12 +43,12 @@
   readonly rules: MembershipRules;
   /** Other zones with whose relays this host exchanges updates while it is a relay. */
   readonly exchangeZones: () => readonly AzId[];
-  readonly listener: NewsListener;
+  readonly listener: UpdateListener;
   readonly log: Logger;
 }
 
 /** Number of checks for a due heartbeat per base interval. */
-const TICKS_PER_BEAT = 4;
+const TICKS_PER_HEARTBEAT = 4;
 /** Tolerance for timers that fire slightly early or late. */
 const TICK_SLACK_MS = 5;
 
@@ -56,7 +56,7 @@
   readonly az: AzId;
   incarnation: number;
   upTo: number;
-  heardAt: number;
+  lastUpdateAt: number;
   members: Map<HostId, Member>;
 }
 
@@ -64,20 +64,21 @@
 export class MembershipService implements PeerHandler {
   private readonly views = new Map<HostId, RelayView>();
   /** Unresponsive hosts, with the time until which they are not used as relays. */
-  private readonly silent = new Map<HostId, number>();
-  private readonly askedAt = new Map<HostId, number>();
+  private readonly unresponsive = new Map<HostId, number>();
+  /** Hosts that have not yet replied to a heartbeat, with the time of the first such heartbeat. */
+  private readonly awaitingSince = new Map<HostId, number>();
   private listed: readonly ListedHost[] = [];
   private readonly timer: NodeJS.Timeout;
-  private readonly loop: EventLoopMonitor;
+  private readonly loopMonitor: EventLoopMonitor;
   /** Whether hosts may be marked unresponsive; false right after a pause of this process. */
-  private mayJudge = true;
+  private mayExpire = true;
   private readonly startedAt = performance.now();
-  private lastBeatAt = Number.NEGATIVE_INFINITY;
+  private lastHeartbeatAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: MembershipOptions) {
     options.network.addHandler(this);
-    const tickMs = options.rules.heartbeatMs / TICKS_PER_BEAT;
-    this.loop = new EventLoopMonitor(tickMs, performance.now());
+    const tickMs = options.rules.heartbeatMs / TICKS_PER_HEARTBEAT;
+    this.loopMonitor = new EventLoopMonitor(tickMs, performance.now());
     this.timer = setInterval(() => {
       this.tick(performance.now());
     }, tickMs);
@@ -98,24 +99,24 @@
     return [...new Set(this.listed.map((host) => host.az))];
   }
 
-  /** Stores the platform's host list, which only serves to find relays, never as evidence of membership. */
+  /** Stores the platform's host list: a hint where to send heartbeats, never evidence that a host is live. */
   putListed(hosts: readonly ListedHost[]): void {
     this.listed = hosts;
-    if (this.views.size === 0) this.beat(performance.now());
+    if (this.views.size === 0) this.sendHeartbeats(performance.now());
   }
 
   private tick(now: number): void {
-    this.mayJudge = this.loop.recordTick(now);
+    this.mayExpire = this.loopMonitor.recordTick(now);
     const { board, rules } = this.options;
     const members = activeHosts(board.members, board.az).length;
     const interval = heartbeatIntervalMs(rules.heartbeatMs, members, rules.expireMs);
-    if (now - this.lastBeatAt >= interval - TICK_SLACK_MS) this.beat(now);
+    if (now - this.lastHeartbeatAt >= interval - TICK_SLACK_MS) this.sendHeartbeats(now);
   }
 
   /** Sends heartbeats immediately. */
-  beat(now: number): void {
-    this.lastBeatAt = now;
-    if (this.mayJudge) this.noteSilence(now);
+  sendHeartbeats(now: number): void {
+    this.lastHeartbeatAt = now;
+    if (this.mayExpire) this.expireRelays(now);
     const { board } = this.options;
     const targets = new Set(this.relaysIn(board.az));
     if (targets.has(board.host)) {
@@ -124,16 +125,16 @@
         if (first !== undefined) targets.add(first);
       }
     }
-    for (const host of targets) this.beatTo(host, now);
+    for (const host of targets) this.sendHeartbeat(host, now);
     this.publish();
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
-    if (frame.kind === FrameKind.Updates) this.takeNews(link, frame);
+    if (frame.kind === FrameKind.Updates) this.handleUpdates(link, frame);
   }
 
   onLost(link: PeerLink): void {
-    if (this.askedAt.has(link.host as HostId)) this.beat(performance.now());
+    if (this.awaitingSince.has(link.host as HostId)) this.sendHeartbeats(performance.now());
   }
 
   stop(): void {
@@ -147,14 +148,14 @@
     if (az === this.options.board.az && !this.options.board.draining) {
       known.add(this.options.board.host);
     }
-    const asked = [...known].filter((host) => !this.silent.has(host));
-    return relaysOf(az, asked, this.options.rules.relays);
+    const responsive = [...known].filter((host) => !this.unresponsive.has(host));
+    return relaysOf(az, responsive, this.options.rules.relays);
   }
 
-  private beatTo(host: HostId, now: number): void {
+  private sendHeartbeat(host: HostId, now: number): void {
     const target = this.addressOf(host);
     if (target === undefined) return;
-    if (!this.askedAt.has(host)) this.askedAt.set(host, now);
+    if (!this.awaitingSince.has(host)) this.awaitingSince.set(host, now);
     const view = this.views.get(host);
     void this.options.network.sendTo(target, {
       kind: FrameKind.Heartbeat,
@@ -172,17 +173,17 @@
     return this.listed.find((entry) => entry.host === host);
   }
 
-  private takeNews(link: PeerLink, frame: FrameOf<FrameKind.Updates>): void {
+  private handleUpdates(link: PeerLink, frame: FrameOf<FrameKind.Updates>): void {
     const host = link.host as HostId;
     const now = performance.now();
-    this.askedAt.delete(host);
-    this.silent.delete(host);
+    this.awaitingSince.delete(host);
+    this.unresponsive.delete(host);
     const view = this.viewOf(host, frame.incarnation);
     view.upTo = frame.upTo;
-    view.heardAt = now;
+    view.lastUpdateAt = now;
     for (const member of membersOf(frame)) {
       view.members.set(member.host, member);
-      this.tellForeign(view, member);
+      this.reportForeignMember(view, member);
     }
     for (const record of frame.records) this.options.listener.onRecord(toGroupRecord(record));
     if (frame.bundle !== undefined) this.options.listener.onBundleHead(frame.bundle, link);
@@ -190,7 +191,7 @@
   }
 
   /** On a relay, forwards what relays of other zones report about members of their own zone. */
-  private tellForeign(view: RelayView, member: Member): void {
+  private reportForeignMember(view: RelayView, member: Member): void {
     const isForeign = view.az !== this.options.board.az && member.az === view.az;
     if (isForeign && this.isRelay) this.options.listener.onForeignMember(member);
   }
@@ -199,34 +200,40 @@
     const held = this.views.get(host);
     if (held?.incarnation === incarnation) return held;
     const az = this.addressOf(host)?.az ?? this.options.board.az;
-    const heardAt = performance.now();
-    const view: RelayView = { az, incarnation, upTo: 0, heardAt, members: new Map() };
+    const lastUpdateAt = performance.now();
+    const view: RelayView = {
+      az,
+      incarnation,
+      upTo: 0,
+      lastUpdateAt,
+      members: new Map(),
+    };
     this.views.set(host, view);
     return view;
   }
 
   /** Excludes hosts for one expiry time that have not replied for that long, and drops their expired views. */
-  private noteSilence(now: number): void {
+  private expireRelays(now: number): void {
     const { expireMs } = this.options.rules;
-    for (const [host, until] of this.silent) if (now >= until) this.silent.delete(host);
-    for (const [host, since] of this.askedAt) {
+    for (const [host, until] of this.unresponsive) if (now >= until) this.unresponsive.delete(host);
+    for (const [host, since] of this.awaitingSince) {
       if (now - since < expireMs) continue;
-      this.askedAt.delete(host);
-      this.silent.set(host, now + expireMs);
+      this.awaitingSince.delete(host);
+      this.unresponsive.set(host, now + expireMs);
       this.options.log.warn('relay-silent', { relay: host, for_ms: Math.round(now - since) });
     }
     for (const [host, view] of this.views) {
-      if (now - view.heardAt <= expireMs) continue;
+      if (now - view.lastUpdateAt <= expireMs) continue;
       this.views.delete(host);
-      if (view.az !== this.options.board.az) this.loseZone(view);
+      if (view.az !== this.options.board.az) this.expireZone(view);
     }
   }
 
   /** Marks the hosts of another zone as gone when all of its relays are unreachable from here. */
-  private loseZone(lost: RelayView): void {
-    const others = [...this.views.values()].some((view) => view.az === lost.az);
-    if (others || !this.isRelay) return;
-    for (const member of lost.members.values()) {
+  private expireZone(expired: RelayView): void {
+    const hasOtherView = [...this.views.values()].some((view) => view.az === expired.az);
+    if (hasOtherView || !this.isRelay) return;
+    for (const member of expired.members.values()) {
       this.options.listener.onForeignMember({ ...member, state: MemberState.Gone });
     }
   }
@@ -237,11 +244,11 @@
    * updates, unless the platform lists no other host in the zone or nobody replies within the expiry
    * time.
    */
-  private knowsMembers(viewsHeard: number): boolean {
+  private areMembersKnown(viewCount: number): boolean {
     const { board, rules } = this.options;
     const others = this.listed.filter((host) => host.az === board.az && host.host !== board.host);
-    const heardOther = [...this.views.keys()].some((host) => host !== board.host);
-    if (heardOther || (viewsHeard > 0 && others.length === 0)) return true;
+    const hasOtherView = [...this.views.keys()].some((host) => host !== board.host);
+    if (hasOtherView || (viewCount > 0 && others.length === 0)) return true;
     return performance.now() - this.startedAt > rules.expireMs;
   }
 
@@ -249,14 +256,14 @@
     const { board, self } = this.options;
     const own = self();
     const views = [...this.views.values()].map((view) => [...view.members.values()]);
-    const joined = mergeViews(views).filter((member) => member.host !== own.host);
-    const members = [...joined, own];
-    if (!sameList(members, board.members)) board.putMembers(members);
-    if (this.knowsMembers(views.length)) board.markMembersKnown();
+    const merged = mergeViews(views).filter((member) => member.host !== own.host);
+    const members = [...merged, own];
+    if (!sameMembers(members, board.members)) board.putMembers(members);
+    if (this.areMembersKnown(views.length)) board.markMembersKnown();
   }
 }
 
-function sameList(a: readonly Member[], b: readonly Member[]): boolean {
+function sameMembers(a: readonly Member[], b: readonly Member[]): boolean {
   if (a.length !== b.length) return false;
   const held = new Map(b.map((member) => [member.host, member]));
   return a.every((member) => {
--- a/packages/proxy/src/control/promotion-runner.ts
+++ b/packages/proxy/src/control/promotion-runner.ts
@@ -27,7 +27,7 @@
   readonly log: Logger;
   /** Time limit of one attempt, milliseconds. */
   readonly timeoutMs: number;
-  /** Maximum wait for upstreams that are not to be avoided, milliseconds. */
+  /** Maximum wait for a majority among the upstreams that are not to be avoided, milliseconds. */
   readonly graceMs: number;
 }
 
@@ -77,15 +77,15 @@
         clearTimeout(timer);
         resolve(result);
       };
-      this.take(startPromotion(this.start));
+      this.applyStep(startPromotion(this.start));
     });
   }
 
   private handle(event: PromotionEvent): void {
-    this.take(advancePromotion(this.state, event));
+    this.applyStep(advancePromotion(this.state, event));
   }
 
-  private take(step: PromotionStep): void {
+  private applyStep(step: PromotionStep): void {
     const before = this.state.stage;
     this.state = step.state;
     const { stage, record } = step.state;
--- a/packages/proxy/src/control/promotion-service.ts
+++ b/packages/proxy/src/control/promotion-service.ts
@@ -43,7 +43,7 @@
 import type { GroupHome } from '../home/group-home.js';
 import type { HomeService } from '../home/home-service.js';
 import type { PeerHandler, PeerLink, PeerNetwork } from '@gladespool/peers';
-import { firstRecord } from './first-record.js';
+import { initialRecord } from './initial-record.js';
 import { runControl } from './run-control.js';
 import { runPromotion } from './promotion-runner.js';
 import { SuspicionPoll } from './suspicion-poll.js';
@@ -80,30 +80,32 @@
   attempts: number;
   /** Earliest local time of the next attempt. */
   notBefore: number;
-  readonly followedAt: Map<UpstreamId, number>;
+  readonly repointedAt: Map<UpstreamId, number>;
 }
 
 const TICK_MS = 50;
-/** Share of the suspicion time after which a home confirms the suspicion of another home. */
-const SECONDING_SHARE = 0.5;
-const FOLLOW_INTERVAL_MS = 1000;
+/** Share of its own suspicion time after which a home confirms the suspicion of another home. */
+const CONFIRMING_SHARE = 0.5;
+const REPOINT_INTERVAL_MS = 1000;
 const DRAIN_POLL_MS = 20;
-const FIRST_RECORD_RETRY_MS = 500;
+const INITIAL_RECORD_RETRY_MS = 500;
 
 /** Starts and carries out promotions on one host. */
 export class PromotionService implements PeerHandler {
   private readonly poll: SuspicionPoll;
   private readonly progress = new Map<GroupId, GroupProgress>();
   private readonly timer: NodeJS.Timeout;
-  private readonly loop = new EventLoopMonitor(TICK_MS, performance.now());
+  private readonly loopMonitor = new EventLoopMonitor(TICK_MS, performance.now());
   private lastAttempt = 0;
 
   constructor(private readonly options: PromotionServiceOptions) {
-    this.poll = new SuspicionPoll(options.network, (group, term) => this.seconds(group, term));
+    this.poll = new SuspicionPoll(options.network, (group, term) =>
+      this.confirmsSuspicion(group, term),
+    );
     options.network.addHandler(this);
     this.timer = setInterval(() => {
       const now = performance.now();
-      if (this.loop.recordTick(now)) this.tick(now);
+      if (this.loopMonitor.recordTick(now)) this.tick(now);
     }, TICK_MS);
   }
 
@@ -124,7 +126,7 @@
       const { spec, record } = home;
       if (spec === undefined) continue;
       const progress = this.progressOf(home.group);
-      if (record === undefined) void this.begin(home, spec, progress, now);
+      if (record === undefined) void this.initializeRecord(home, spec, progress, now);
       else this.review(home, spec, record, progress, now);
     }
   }
@@ -136,7 +138,7 @@
     progress: GroupProgress,
     now: number,
   ): void {
-    this.follow(home, spec, record, progress, now);
+    this.repoint(home, spec, record, progress, now);
     if (progress.busy || now < progress.notBefore) return;
     if (this.isStalled(home, record, now)) {
       void this.attempt(home, spec, progress);
@@ -144,12 +146,12 @@
     }
     if (record.phase === GroupPhase.Fencing) return;
     if (this.isSuspect(home, spec, record, now)) {
-      void this.consult(home, spec, record, progress);
+      void this.pollZones(home, spec, record, progress);
       return;
     }
     const primary = spec.upstreams.find((upstream) => upstream.id === record.primary);
-    const leaves = primary === undefined || primary.state === UpstreamState.Leaving;
-    if (leaves && this.rank(spec) === 0) void this.handOver(home, spec, record, progress);
+    const isLeaving = primary === undefined || primary.state === UpstreamState.Leaving;
+    if (isLeaving && this.rank(spec) === 0) void this.handOver(home, spec, record, progress);
   }
 
   private isSuspect(home: GroupHome, spec: GroupSpec, record: GroupRecord, now: number): boolean {
@@ -159,23 +161,23 @@
     return home.unconfirmableMs(spec, record, now) > needed;
   }
 
-  /** Whether an attempt has not finished in time after it began to fence. */
+  /** Whether another host has started an attempt that did not finish in time. */
   private isStalled(home: GroupHome, record: GroupRecord, now: number): boolean {
     if (record.phase !== GroupPhase.Fencing) return false;
     const since = home.context.board.record(home.group)?.since ?? now;
     return now - since > this.options.rules.stalledAfterMs;
   }
 
-  private seconds(group: string, term: number): boolean {
+  private confirmsSuspicion(group: string, term: number): boolean {
     const home = this.options.homes.home(group as GroupId);
     const { spec, record } = home ?? {};
     if (home === undefined || spec === undefined || record?.term !== term) return false;
-    const silentMs = home.unconfirmableMs(spec, record, performance.now());
-    return silentMs > this.options.rules.suspectAfterMs * SECONDING_SHARE;
+    const unconfirmedMs = home.unconfirmableMs(spec, record, performance.now());
+    return unconfirmedMs > this.options.rules.suspectAfterMs * CONFIRMING_SHARE;
   }
 
   /** Polls the homes of other zones and attempts a promotion if a majority of the zones agrees. */
-  private async consult(
+  private async pollZones(
     home: GroupHome,
     spec: GroupSpec,
     record: GroupRecord,
@@ -185,19 +187,19 @@
     const { rules, random } = this.options;
     const { az } = home.context.board;
     const others = this.homesElsewhere(spec);
-    const opinions = await this.poll.ask(spec.id, record.term, others);
+    const votes = await this.poll.collectVotes(spec.id, record.term, others);
     const own = { az, suspects: true };
-    const agreed = isSuspectedByMajority(zonesOfGroup(spec), [...opinions, own]);
+    const agreed = isSuspectedByMajority(zonesOfGroup(spec), [...votes, own]);
     if (agreed) await pause(attemptDelayMs(0, this.rank(spec), rules.damping, random));
     progress.busy = false;
-    const present = home.record;
-    if (!agreed || present?.term !== record.term || present.phase === GroupPhase.Fencing) return;
-    if (!this.isSuspect(home, spec, present, performance.now())) return;
+    const current = home.record;
+    if (!agreed || current?.term !== record.term || current.phase === GroupPhase.Fencing) return;
+    if (!this.isSuspect(home, spec, current, performance.now())) return;
     this.options.log.warn('primary-suspect', {
       group: spec.id,
       upstream: record.primary,
       term: record.term,
-      silent_ms: Math.round(home.unconfirmableMs(spec, present, performance.now())),
+      silent_ms: Math.round(home.unconfirmableMs(spec, current, performance.now())),
     });
     await this.attempt(home, spec, progress);
   }
@@ -231,13 +233,13 @@
       this.options.onRecord(record);
       if (record.phase === GroupPhase.Serving) return;
     }
-    const isLost = known !== undefined && record.term < known.term;
-    if (isLost) {
-      const lost = { group: spec.id, term: known.term, stored_term: record.term };
-      log.warn('store-record-older', lost);
+    const isStoreBehind = known !== undefined && record.term < known.term;
+    if (isStoreBehind) {
+      const fields = { group: spec.id, term: known.term, stored_term: record.term };
+      log.warn('store-record-older', fields);
     }
     this.lastAttempt += 1;
-    const newest = isLost ? known : record;
+    const newest = isStoreBehind ? known : record;
     const fenced = home.reports(spec).map(({ report }) => report.fencedTerm);
     const leaving = spec.upstreams.filter((entry) => entry.state === UpstreamState.Leaving);
     const result = await runPromotion(
@@ -278,12 +280,12 @@
   /** Notifies this host and the homes of all zones immediately; relays notify all other hosts. */
   private announce(spec: GroupSpec, record: GroupRecord): void {
     this.options.onRecord(record);
-    const news = {
+    const update = {
       kind: FrameKind.RecordUpdate,
       record: { ...record, lineage: [...record.lineage] },
     } as const;
     const { network } = this.options;
-    for (const member of this.homesEverywhere(spec)) void network.sendTo(member, news);
+    for (const member of this.homesEverywhere(spec)) void network.sendTo(member, update);
   }
 
   /**
@@ -324,7 +326,7 @@
   }
 
   /** Writes the initial record of a group that has none yet. */
-  private async begin(
+  private async initializeRecord(
     home: GroupHome,
     spec: GroupSpec,
     progress: GroupProgress,
@@ -332,21 +334,21 @@
   ): Promise<void> {
     if (progress.busy || now < progress.notBefore) return;
     progress.busy = true;
-    progress.notBefore = now + FIRST_RECORD_RETRY_MS;
+    progress.notBefore = now + INITIAL_RECORD_RETRY_MS;
     const { store } = this.options;
     const read = await store.read(recordKey(spec.id));
     if (read.isOk()) {
       const stored = decodeRecord(read.value?.value ?? '');
       if (stored !== undefined) this.options.onRecord(stored);
-      else if (this.rank(spec) === 0) await this.writeFirst(home, spec);
+      else if (this.rank(spec) === 0) await this.writeInitialRecord(home, spec);
     }
     progress.busy = false;
   }
 
-  private async writeFirst(home: GroupHome, spec: GroupSpec): Promise<void> {
+  private async writeInitialRecord(home: GroupHome, spec: GroupSpec): Promise<void> {
     await home.watcher.round();
     const reports = home.reports(spec).map((timed) => timed.report);
-    const record = firstRecord(spec, reports, home.context.board.host);
+    const record = initialRecord(spec, reports, home.context.board.host);
     if (record === undefined) return;
     const key = recordKey(spec.id);
     const swap = { key, value: encodeRecord(record), expected: 0 };
@@ -367,7 +369,7 @@
   }
 
   /** Repoints replicas and returned former primaries to the primary of the record. */
-  private follow(
+  private repoint(
     home: GroupHome,
     spec: GroupSpec,
     record: GroupRecord,
@@ -380,8 +382,8 @@
     const primary = reports.find((report) => report.upstream === record.primary);
     if (primary?.role !== UpstreamRole.Primary) return;
     for (const id of upstreamsToRepoint(spec, record, reports)) {
-      if (now - (progress.followedAt.get(id) ?? -Infinity) < FOLLOW_INTERVAL_MS) continue;
-      progress.followedAt.set(id, now);
+      if (now - (progress.repointedAt.get(id) ?? -Infinity) < REPOINT_INTERVAL_MS) continue;
+      progress.repointedAt.set(id, now);
       const { address, port } = target;
       const where = { upstream: target.id, address, port };
       void home.control(id)?.run(followSql(record.term, where, record.lineage));
@@ -391,7 +393,7 @@
   private progressOf(group: GroupId): GroupProgress {
     const held = this.progress.get(group);
     if (held !== undefined) return held;
-    const fresh = { busy: false, attempts: 0, notBefore: 0, followedAt: new Map() };
+    const fresh = { busy: false, attempts: 0, notBefore: 0, repointedAt: new Map() };
     this.progress.set(group, fresh);
     return fresh;
   }
@@ -414,9 +416,9 @@
 
   private homesEverywhere(spec: GroupSpec): readonly Member[] {
     const { board } = this.options.homes.context;
-    const names = zonesOfGroup(spec).flatMap((az) =>
+    const hosts = zonesOfGroup(spec).flatMap((az) =>
       homesOf(spec.id, activeHosts(board.members, az), this.options.rules.homesPerGroup),
     );
-    return board.members.filter((member) => names.includes(member.host));
+    return board.members.filter((member) => hosts.includes(member.host));
   }
 }
--- a/packages/proxy/src/control/relay-service.ts
+++ b/packages/proxy/src/control/relay-service.ts
@@ -15,8 +15,8 @@
 import type { Frame, FrameOf } from '@gladespool/protocol';
 import { FrameKind } from '@gladespool/protocol';
 import type { PeerHandler, PeerLink } from '@gladespool/peers';
-import { NewsBoard } from './news-board.js';
-import { newsFrame } from './news-frame.js';
+import { UpdateLog } from './update-log.js';
+import { updatesFrame } from './updates-frame.js';
 
 /** Timing of a relay. */
 export interface RelayRules {
@@ -30,12 +30,13 @@
 
 /** Relay role of one host. */
 export class RelayService implements PeerHandler {
-  readonly news = new NewsBoard();
-  private readonly heard = new Map<HostId, TrackedMember>();
-  private readonly versions = new Map<HostId, number>();
+  readonly news = new UpdateLog();
+  private readonly tracked = new Map<HostId, TrackedMember>();
+  private readonly bundleVersions = new Map<HostId, number>();
+  /** Counter value up to which updates have been sent on each link. */
   private readonly sentUpTo = new Map<PeerLink, number>();
-  private readonly expiry: NodeJS.Timeout;
-  private readonly loop: EventLoopMonitor;
+  private readonly expiryTimer: NodeJS.Timeout;
+  private readonly loopMonitor: EventLoopMonitor;
   private pushTimer: NodeJS.Timeout | undefined;
 
   constructor(
@@ -44,11 +45,11 @@
     private readonly rules: RelayRules,
     private readonly parts: PartSource,
   ) {
-    const checkMs = rules.expireMs / EXPIRY_CHECKS;
-    this.loop = new EventLoopMonitor(checkMs, performance.now());
-    this.expiry = setInterval(() => {
+    const checkMs = rules.expireMs / EXPIRY_CHECKS_PER_PERIOD;
+    this.loopMonitor = new EventLoopMonitor(checkMs, performance.now());
+    this.expiryTimer = setInterval(() => {
       const now = performance.now();
-      if (this.loop.recordTick(now)) this.expire(now);
+      if (this.loopMonitor.recordTick(now)) this.expire(now);
     }, checkMs);
   }
 
@@ -59,13 +60,17 @@
 
   /** Live hosts of this zone and the bundle version that each of them has installed. */
   get hostVersions(): ReadonlyMap<HostId, number> {
-    const live = [...this.heard.values()].filter(({ member }) => member.state !== MemberState.Gone);
-    return new Map(live.map(({ member }) => [member.host, this.versions.get(member.host) ?? 0]));
+    const live = [...this.tracked.values()].filter(
+      ({ member }) => member.state !== MemberState.Gone,
+    );
+    return new Map(
+      live.map(({ member }) => [member.host, this.bundleVersions.get(member.host) ?? 0]),
+    );
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
-    if (frame.kind === FrameKind.Heartbeat) this.takeBeat(link, frame);
-    if (frame.kind === FrameKind.PartRequest) this.answerParts(link, frame.hashes);
+    if (frame.kind === FrameKind.Heartbeat) this.handleHeartbeat(link, frame);
+    if (frame.kind === FrameKind.PartRequest) this.sendParts(link, frame.hashes);
   }
 
   onLost(link: PeerLink): void {
@@ -81,44 +86,44 @@
   }
 
   stop(): void {
-    clearInterval(this.expiry);
+    clearInterval(this.expiryTimer);
     clearTimeout(this.pushTimer);
   }
 
-  private takeBeat(link: PeerLink, beat: FrameOf<FrameKind.Heartbeat>): void {
-    const member = memberOf(beat.self);
+  private handleHeartbeat(link: PeerLink, heartbeat: FrameOf<FrameKind.Heartbeat>): void {
+    const member = memberOf(heartbeat.self);
     const isOwn = member.az === this.az;
-    if (isOwn) this.versions.set(member.host, beat.bundleVersion);
-    if (isOwn) this.judge(member, performance.now());
-    const knows = beat.heardOf === this.incarnation ? beat.heardUpTo : 0;
-    this.send(link, knows);
+    if (isOwn) this.bundleVersions.set(member.host, heartbeat.bundleVersion);
+    if (isOwn) this.recordHeartbeat(member, performance.now());
+    const receivedUpTo = heartbeat.heardOf === this.incarnation ? heartbeat.heardUpTo : 0;
+    this.send(link, receivedUpTo);
   }
 
-  private judge(member: Member, now: number): void {
-    const effect = applyHeartbeat(this.heard.get(member.host), member, now);
-    this.heard.set(member.host, effect.heard);
+  private recordHeartbeat(member: Member, now: number): void {
+    const effect = applyHeartbeat(this.tracked.get(member.host), member, now);
+    this.tracked.set(member.host, effect.heard);
     if (this.news.putMember(effect.heard.member)) this.push();
   }
 
   private expire(now: number): void {
-    for (const gone of expiredMembers([...this.heard.values()], now, this.rules.expireMs)) {
-      this.heard.set(gone.host, { member: gone, lastHeartbeatAt: now });
+    for (const gone of expiredMembers([...this.tracked.values()], now, this.rules.expireMs)) {
+      this.tracked.set(gone.host, { member: gone, lastHeartbeatAt: now });
       if (this.news.putMember(gone)) this.push();
     }
-    for (const [host, { member, lastHeartbeatAt }] of this.heard) {
+    for (const [host, { member, lastHeartbeatAt }] of this.tracked) {
       const isOld = now - lastHeartbeatAt > this.rules.expireMs * FORGET_FACTOR;
       if (member.state !== MemberState.Gone || !isOld) continue;
-      this.heard.delete(host);
-      this.versions.delete(host);
+      this.tracked.delete(host);
+      this.bundleVersions.delete(host);
     }
   }
 
-  private send(link: PeerLink, heard: number): void {
-    if (!link.send(newsFrame(this.news.after(heard), this.incarnation))) return;
+  private send(link: PeerLink, receivedUpTo: number): void {
+    if (!link.send(updatesFrame(this.news.after(receivedUpTo), this.incarnation))) return;
     this.sentUpTo.set(link, this.news.upTo);
   }
 
-  private answerParts(link: PeerLink, hashes: readonly string[]): void {
+  private sendParts(link: PeerLink, hashes: readonly string[]): void {
     const parts = hashes.flatMap((hash) => {
       const text = this.parts(hash);
       return text === undefined ? [] : [{ hash, text }];
@@ -127,7 +132,8 @@
   }
 }
 
-const EXPIRY_CHECKS = 4;
+const EXPIRY_CHECKS_PER_PERIOD = 4;
+/** Multiple of the expiry time after which a gone host is removed. */
 const FORGET_FACTOR = 20;
 
 function memberOf(self: FrameOf<FrameKind.Heartbeat>['self']): Member {
--- a/packages/proxy/src/control/store-relay.ts
+++ b/packages/proxy/src/control/store-relay.ts
@@ -15,7 +15,7 @@
 import type { PartFetch } from './bundle-service.js';
 
 /** Receives bundle heads and group records from the store. */
-export interface StoreNewsListener {
+export interface StoreRelayListener {
   onBundleHead(head: string, fetch: PartFetch): void;
   onRecord(record: GroupRecord, revision: number): void;
 }
@@ -23,7 +23,7 @@
 /** Options of the store watch. */
 export interface StoreRelayOptions {
   readonly store: PlatformStore;
-  readonly listener: StoreNewsListener;
+  readonly listener: StoreRelayListener;
   readonly metrics: HostMetrics;
   readonly log: Logger;
   /** Initial and maximum delay before a lost watch is reopened, milliseconds; doubles with each failure. */
@@ -66,7 +66,7 @@
         void this.readAll();
       },
       onValue: (value) => {
-        this.take(value);
+        this.handleValue(value);
       },
       onEnd: (error) => {
         const { step, peer, message } = error;
@@ -83,7 +83,7 @@
     // Without this check, a relay stopped during the read would reopen its watch and never close it.
     if (watch === undefined || this.stopWatch !== watch) return;
     if (values.isOk()) {
-      for (const value of values.value) this.take(value);
+      for (const value of values.value) this.handleValue(value);
       return;
     }
     const { step, peer, message } = values.error;
@@ -92,7 +92,7 @@
     this.retryLater(RetryReason.StoreFailed);
   }
 
-  private take(value: StoredValue): void {
+  private handleValue(value: StoredValue): void {
     if (value.key === BUNDLE_HEAD_KEY) {
       this.options.listener.onBundleHead(value.value, (hashes) => this.fetchParts(hashes));
       return;
--- a/packages/proxy/src/control/trust-chain.ts
+++ b/packages/proxy/src/control/trust-chain.ts
@@ -13,7 +13,7 @@
 } from '@gladespool/protocol';
 
 /**
- * Returns the operators that must sign a head of `version`.
+ * Returns the operators and the signature threshold that apply to a head of `version`.
  *
  * @param trust - operators trusted as of version `since`
  * @returns `trust` updated by every valid link between `since` and `version`, up to the first link
--- a/packages/proxy/src/control/news-board.ts
+++ b/packages/proxy/src/control/update-log.ts
@@ -6,13 +6,13 @@
 import type { GroupId, GroupRecord, HostId, Member } from '@gladespool/coordination';
 import { compareRecords, sameMember } from '@gladespool/coordination';
 
-interface Counted<Item> {
+interface Versioned<Item> {
   readonly item: Item;
   readonly at: number;
 }
 
 /** Updates after some counter value. */
-export interface News {
+export interface Updates {
   readonly members: readonly Member[];
   readonly records: readonly GroupRecord[];
   readonly bundle: string | undefined;
@@ -20,10 +20,10 @@
 }
 
 /** Updates that one relay distributes. */
-export class NewsBoard {
-  private readonly members = new Map<HostId, Counted<Member>>();
-  private readonly records = new Map<GroupId, Counted<GroupRecord>>();
-  private bundle: Counted<string> | undefined;
+export class UpdateLog {
+  private readonly members = new Map<HostId, Versioned<Member>>();
+  private readonly records = new Map<GroupId, Versioned<GroupRecord>>();
+  private bundle: Versioned<string> | undefined;
   private counter = 0;
 
   /** Counter value of the latest change. */
@@ -36,7 +36,7 @@
     const held = this.members.get(member.host);
     if (held !== undefined && sameMember(held.item, member)) return false;
     if (held !== undefined && member.incarnation < held.item.incarnation) return false;
-    this.members.set(member.host, this.count(member));
+    this.members.set(member.host, this.stamp(member));
     return true;
   }
 
@@ -44,34 +44,34 @@
   putRecord(record: GroupRecord): boolean {
     const held = this.records.get(record.group);
     if (held !== undefined && compareRecords(record, held.item) <= 0) return false;
-    this.records.set(record.group, this.count(record));
+    this.records.set(record.group, this.stamp(record));
     return true;
   }
 
   /** Stores the head of a newly installed bundle. */
   putBundle(head: string): void {
-    this.bundle = this.count(head);
+    this.bundle = this.stamp(head);
   }
 
   /** Returns all items that changed after the counter value `heard`. */
-  after(heard: number): News {
-    if (heard >= this.counter) return { ...NOTHING, upTo: this.counter };
+  after(heard: number): Updates {
+    if (heard >= this.counter) return { ...NO_UPDATES, upTo: this.counter };
     return {
-      members: newer(this.members.values(), heard),
-      records: newer(this.records.values(), heard),
+      members: changedAfter(this.members.values(), heard),
+      records: changedAfter(this.records.values(), heard),
       bundle: this.bundle !== undefined && this.bundle.at > heard ? this.bundle.item : undefined,
       upTo: this.counter,
     };
   }
 
-  private count<Item>(item: Item): Counted<Item> {
+  private stamp<Item>(item: Item): Versioned<Item> {
     this.counter += 1;
     return { item, at: this.counter };
   }
 }
 
-const NOTHING: Omit<News, 'upTo'> = { members: [], records: [], bundle: undefined };
+const NO_UPDATES: Omit<Updates, 'upTo'> = { members: [], records: [], bundle: undefined };
 
-function newer<Item>(counted: Iterable<Counted<Item>>, heard: number): readonly Item[] {
+function changedAfter<Item>(counted: Iterable<Versioned<Item>>, heard: number): readonly Item[] {
   return [...counted].filter((entry) => entry.at > heard).map((entry) => entry.item);
 }
--- a/packages/proxy/src/control/news-frame.ts
+++ b/packages/proxy/src/control/updates-frame.ts
@@ -5,14 +5,14 @@
 import { azId, hostId } from '@gladespool/coordination';
 import type { FrameOf } from '@gladespool/protocol';
 import { FrameKind } from '@gladespool/protocol';
-import type { News } from './news-board.js';
+import type { Updates } from './update-log.js';
 
-type NewsFrame = FrameOf<FrameKind.Updates>;
+type UpdatesFrame = FrameOf<FrameKind.Updates>;
 
 /** Returns a frame with updates of the relay with this incarnation. */
-export function newsFrame(news: News, incarnation: number): NewsFrame {
-  const { members, records, bundle, upTo } = news;
-  const frame: NewsFrame = {
+export function updatesFrame(updates: Updates, incarnation: number): UpdatesFrame {
+  const { members, records, bundle, upTo } = updates;
+  const frame: UpdatesFrame = {
     kind: FrameKind.Updates,
     incarnation,
     upTo,
@@ -23,7 +23,7 @@
 }
 
 /** Returns the members of a frame. */
-export function membersOf(frame: NewsFrame): readonly Member[] {
+export function membersOf(frame: UpdatesFrame): readonly Member[] {
   return frame.members.map((member) => ({
     ...member,
     host: hostId(member.host),
--- a/packages/proxy/src/control/zone-status.ts
+++ b/packages/proxy/src/control/zone-status.ts
@@ -20,7 +20,7 @@
   readonly intervalMs: number;
 }
 
-/** Maximum number of lagging hosts in a report; the metric of each host gives the full count. */
+/** Maximum number of lagging hosts named in a report; the metrics of the hosts show all of them. */
 const MOST_NAMED = 20;
 
 /** Writes the status report of the zone to the store. */
--- a/packages/proxy/src/host.ts
+++ b/packages/proxy/src/host.ts
@@ -148,7 +148,7 @@
     await this.status.listen(listen.address, listen.metrics_port);
     this.board.putMembers([this.self()]);
     void this.readHostList();
-    this.membership.beat(performance.now());
+    this.membership.sendHeartbeats(performance.now());
     this.listTimer = setInterval(() => {
       void this.readHostList();
     }, hostList.interval_ms);
@@ -160,7 +160,7 @@
     const { drain_ms: drainMs } = this.options.settings.caller;
     this.log.info('draining');
     this.board.draining = true;
-    this.membership.beat(performance.now());
+    this.membership.sendHeartbeats(performance.now());
     await this.callers.drain(drainMs);
     await pause(this.options.settings.peer.heartbeat_ms);
     await this.homes.drain(drainMs);
@@ -216,7 +216,7 @@
     this.log.warn('host-list-failed', { step, peer, error: message });
   }
 
-  private takeRecord(record: GroupRecord): void {
+  private handleRecord(record: GroupRecord): void {
     this.board.putRecord(record, performance.now());
     if (this.relay.news.putRecord(record)) this.relay.push();
   }
@@ -225,7 +225,7 @@
    * Offers a head from the store, but only after relays of the zone could have reported a newer one: a
    * starting host must not install a bundle version that the other hosts have already replaced.
    */
-  private takeStoredHead(stored: StoredHead): void {
+  private handleStoredHead(stored: StoredHead): void {
     if (this.board.membersKnown) this.bundle.offer(stored.head, stored.fetch);
     else this.storedHead = stored;
   }
@@ -261,7 +261,7 @@
       log: this.log,
       listener: {
         onRecord: (record) => {
-          this.takeRecord(record);
+          this.handleRecord(record);
         },
         onBundleHead: (head, link) => {
           this.bundle.offerFromLink(head, link);
@@ -323,10 +323,10 @@
       maxRetryMs: STORE_MAX_RETRY_MS,
       listener: {
         onBundleHead: (head, fetch) => {
-          this.takeStoredHead({ head, fetch });
+          this.handleStoredHead({ head, fetch });
         },
         onRecord: (record) => {
-          this.takeRecord(record);
+          this.handleRecord(record);
         },
       },
     });
@@ -353,7 +353,7 @@
       metrics: this.metrics,
       log: createLogger('promotion', { host: settings.host, az: settings.az }),
       onRecord: (record) => {
-        this.takeRecord(record);
+        this.handleRecord(record);
       },
       rules: {
         homesPerGroup: settings.peer.homes_per_group,
--- a/packages/proxy/src/http/status-server.ts
+++ b/packages/proxy/src/http/status-server.ts
@@ -19,7 +19,7 @@
 
   constructor(private readonly options: StatusServerOptions) {
     this.server = createServer((req, res) => {
-      void this.answer(req.url ?? '', res);
+      void this.respond(req.url ?? '', res);
     });
   }
 
@@ -39,7 +39,7 @@
     await new Promise((resolve) => this.server.close(resolve));
   }
 
-  private async answer(url: string, res: ServerResponse): Promise<void> {
+  private async respond(url: string, res: ServerResponse): Promise<void> {
     if (url === '/metrics') {
       const { registry } = this.options.metrics;
       res.setHeader('content-type', registry.contentType);
