--- a/packages/proxy/tests/paused-relay.steps.ts
+++ b/packages/proxy/tests/paused-relay.steps.ts
@@ -16,7 +16,7 @@
 const HOST = hostId('h1');
 const AZ = azId('z1');
 
-Given('a relay that hears a host', function (this: RelayWorld) {
+Given('a relay that receives heartbeats from a host', function (this: RelayWorld) {
   const rules = { expireMs: EXPIRE_MS, pushDelayMs: 1 };
   this.relay = new RelayService(AZ, 1, rules, () => undefined);
   const link = { host: HOST, send: () => true } as unknown as PeerLink;
@@ -35,7 +35,7 @@
   this.relay?.stop();
 });
 
-When('it is paused for longer than hosts may be silent', async function (this: RelayWorld) {
+When('it is paused for longer than the expiry time', async function (this: RelayWorld) {
   await pause(1);
   const until = performance.now() + 2 * EXPIRE_MS;
   while (performance.now() < until);
@@ -44,14 +44,14 @@
   this.isLive = this.relay.hostVersions.has(HOST);
 });
 
-When('that host is silent', function () {
+When('that host stops sending heartbeats', function () {
   // The host sends no further heartbeats.
 });
 
-Then('the host still counts as live when the relay reads on', function (this: RelayWorld) {
+Then('the host is still live when the relay resumes reading', function (this: RelayWorld) {
   assert.equal(this.isLive, true);
 });
 
-Then('the host counts as gone in the end', async function (this: RelayWorld) {
+Then('the host eventually counts as gone', async function (this: RelayWorld) {
   while (this.relay.hostVersions.has(HOST)) await pause(1);
 });
--- a/packages/proxy/tests/run-control.steps.ts
+++ b/packages/proxy/tests/run-control.steps.ts
@@ -14,12 +14,12 @@
 const UPSTREAM = upstreamId('u1');
 
 /** Error of the control connection itself; shows whether the statement reached the connection. */
-const TOLD = gladespoolError({ step: Step.UpstreamExchange, peer: UPSTREAM }, 'refused');
+const CONTROL_ERROR = gladespoolError({ step: Step.UpstreamExchange, peer: UPSTREAM }, 'refused');
 
 Given(
   /^a home (with a|that has no) control connection to the upstream$/,
   function (this: ControlWorld, which: string) {
-    const control = { run: () => Promise.resolve(err(TOLD)) };
+    const control = { run: () => Promise.resolve(err(CONTROL_ERROR)) };
     this.home = { control: () => (which === 'with a' ? control : undefined) };
   },
 );
--- a/packages/proxy/tests/store-relay.steps.ts
+++ b/packages/proxy/tests/store-relay.steps.ts
@@ -12,14 +12,17 @@
 interface StoreRelayWorld {
   storeRelay: StoreRelay;
   /** Completes the pending read. */
-  endRead: (result: Result<readonly StoredValue[], GladespoolError>) => void;
+  completeRead: (result: Result<readonly StoredValue[], GladespoolError>) => void;
   watches: number;
 }
 
 const RETRY_MS = 1;
-const AWAY = gladespoolError({ step: Step.StoreRead, peer: 'store' }, 'store did not answer');
+const STORE_UNREACHABLE = gladespoolError(
+  { step: Step.StoreRead, peer: 'store' },
+  'store did not answer',
+);
 
-Given('a relay whose watch is open, and that reads everything', function (this: StoreRelayWorld) {
+Given('a relay whose watch is open and that reads all values', function (this: StoreRelayWorld) {
   this.watches = 0;
   const store: Pick<PlatformStore, 'watch' | 'readPrefix'> = {
     watch: (_prefix: string, listener: WatchListener) => {
@@ -31,7 +34,7 @@
     },
     readPrefix: () =>
       new Promise((resolve) => {
-        this.endRead = resolve;
+        this.completeRead = resolve;
       }),
   };
   this.storeRelay = new StoreRelay({
@@ -49,24 +52,24 @@
   this.storeRelay?.stop();
 });
 
-When('it is stopped, and the read fails after that', async function (this: StoreRelayWorld) {
+When('it is stopped and the read fails afterwards', async function (this: StoreRelayWorld) {
   await turn();
   await turn();
   this.storeRelay.stop();
-  this.endRead(err(AWAY));
+  this.completeRead(err(STORE_UNREACHABLE));
   await turn();
 });
 
 When('the read fails', async function (this: StoreRelayWorld) {
   await turn();
   await turn();
-  this.endRead(err(AWAY));
+  this.completeRead(err(STORE_UNREACHABLE));
 });
 
-Then('it does not watch again', function (this: StoreRelayWorld) {
+Then('it does not reopen the watch', function (this: StoreRelayWorld) {
   assert.equal(this.storeRelay.active, false);
 });
 
-Then('it watches again', async function (this: StoreRelayWorld) {
+Then('it reopens the watch', async function (this: StoreRelayWorld) {
   while (this.watches < 2) await pause(RETRY_MS);
 });
