--- a/packages/proxy/src/control/bundle-service.ts
+++ b/packages/proxy/src/control/bundle-service.ts
@@ -1,6 +1,7 @@
 /**
- * Puts bundles in force: checks version and signatures, fetches the parts it lacks, and never goes
- * back. Heads come from the store (relays) or from relays (everyone).
+ * Installs configuration bundles: verifies version and signatures, fetches missing parts, and never
+ * installs an older version than the current one. Relays receive bundle heads from the store, all
+ * hosts receive them from relays.
  */
 import type { Blackboard, GroupSpec } from '@gladespool/coordination';
 import type { HostMetrics, Logger } from '@gladespool/observability';
@@ -19,17 +20,17 @@
 import type { PeerHandler, PeerLink } from '@gladespool/peers';
 import { trustAfterChain } from './trust-chain.js';
 
-/** Fetches parts by hash; parts not found are left out. */
+/** Fetches the texts of parts by hash; parts that are not found are omitted. */
 export type PartFetch = (hashes: readonly string[]) => Promise<readonly string[]>;
 
 /** Options of the service. */
 export interface BundleServiceOptions {
   readonly board: Blackboard;
-  /** Operators trusted before any bundle is held. */
+  /** Operators that are trusted until the first bundle is installed. */
   readonly root: TrustRoot;
   readonly metrics: HostMetrics;
   readonly log: Logger;
-  /** Called with the head once it is in force. */
+  /** Called with the head and version of a bundle after it has been installed. */
   readonly onInForce: (head: string, version: number) => void;
 }
 
@@ -37,49 +38,50 @@
   readonly head: string;
   readonly manifest: Manifest;
   readonly fetch: PartFetch;
-  /** Texts of parts that came with the head. */
+  /** Texts of the parts that were sent together with the head. */
   readonly fresh: readonly string[];
 }
 
-const ASK_TIMEOUT_MS = 5000;
+const PART_REQUEST_TIMEOUT_MS = 5000;
 
-/** Bundle in force on one host. */
+/** Holds the installed bundle of one host and installs newer ones. */
 export class BundleService implements PeerHandler {
   private readonly parts = new Map<string, string>();
   private readonly groups = new Map<string, readonly GroupSpec[]>();
   private trust: TrustRoot;
-  private trusted = 0;
+  private trustedVersion = 0;
   private version = 0;
   private headInForce: string | undefined;
   private installing: Candidate | undefined;
   private next: Candidate | undefined;
-  private waiting: { readonly link: PeerLink; readonly done: (texts: string[]) => void }[] = [];
+  private pendingRequests: { readonly link: PeerLink; readonly done: (texts: string[]) => void }[] =
+    [];
 
   constructor(private readonly options: BundleServiceOptions) {
     this.trust = options.root;
   }
 
-  /** Version in force; 0 for none. */
+  /** Version of the installed bundle; 0 if there is none. */
   get inForce(): number {
     return this.version;
   }
 
-  /** Head in force. */
+  /** Head of the installed bundle. */
   get head(): string | undefined {
     return this.headInForce;
   }
 
-  /** Text of a part that this host holds. */
+  /** Returns the text of a part that this host holds. */
   part(hash: string): string | undefined {
     return this.parts.get(hash);
   }
 
-  /** Takes a head from a link; parts are asked for on the same link. */
+  /** Offers a head that was received on a link; missing parts are requested on the same link. */
   offerFromLink(head: string, link: PeerLink): void {
-    this.offer(head, (hashes) => this.ask(link, hashes));
+    this.offer(head, (hashes) => this.requestParts(link, hashes));
   }
 
-  /** Takes a head; older versions and wrong signatures change nothing. */
+  /** Installs the bundle of a head, unless its version is not newer or its signatures are not valid. */
   offer(text: string, fetch: PartFetch): void {
     const head = decodeHead(text);
     const manifest = head && readManifest(head.manifest);
@@ -95,19 +97,19 @@
 
   onFrame(link: PeerLink, frame: Frame): void {
     if (frame.kind !== FrameKind.PartReply) return;
-    const index = this.waiting.findIndex((entry) => entry.link === link);
-    const [entry] = index < 0 ? [] : this.waiting.splice(index, 1);
+    const index = this.pendingRequests.findIndex((entry) => entry.link === link);
+    const [entry] = index < 0 ? [] : this.pendingRequests.splice(index, 1);
     entry?.done(frame.parts.map((part) => part.text));
   }
 
   onLost(link: PeerLink): void {
-    const lost = this.waiting.filter((entry) => entry.link === link);
-    this.waiting = this.waiting.filter((entry) => entry.link !== link);
+    const lost = this.pendingRequests.filter((entry) => entry.link === link);
+    this.pendingRequests = this.pendingRequests.filter((entry) => entry.link !== link);
     for (const entry of lost) entry.done([]);
   }
 
   private authorize(head: BundleHead, manifest: Manifest): boolean {
-    const trust = trustAfterChain(this.trust, this.trusted, head.chain, manifest.version);
+    const trust = trustAfterChain(this.trust, this.trustedVersion, head.chain, manifest.version);
     const authorized = isAuthorized(head.manifest, signaturesOf(head), trust);
     if (!authorized) {
       const { version } = manifest;
@@ -135,30 +137,30 @@
     const missing = hashes.filter((hash) => !this.parts.has(hash));
     if (missing.length > 0) await this.fetchParts(candidate, missing);
     const { version } = candidate.manifest;
-    const lacking = hashes.filter((hash) => !this.parts.has(hash)).length;
-    if (lacking > 0) {
-      log.warn('bundle-incomplete', { version, missing: lacking });
+    const missingCount = hashes.filter((hash) => !this.parts.has(hash)).length;
+    if (missingCount > 0) {
+      log.warn('bundle-incomplete', { version, missing: missingCount });
       return;
     }
-    const bundle = this.read(version, hashes);
+    const bundle = this.parseBundle(version, hashes);
     if (bundle === undefined) {
       log.warn('bundle-refused', { reason: 'content', version });
       return;
     }
     const { operators, threshold, groups } = bundle;
     this.trust = { operators, threshold };
-    this.trusted = version;
+    this.trustedVersion = version;
     this.version = version;
     this.headInForce = candidate.head;
-    this.keepOnly(new Set(hashes));
+    this.removeOtherParts(new Set(hashes));
     board.putBundle(version, groups, performance.now());
     this.options.metrics.bundleVersion.set(version);
     log.info('bundle-in-force', { version, groups: groups.length, fetched: missing.length });
     this.options.onInForce(candidate.head, version);
   }
 
-  /** Reads the parts; those that did not change since the last bundle are not read again. */
-  private read(version: number, hashes: readonly string[]): Bundle | undefined {
+  /** Parses the parts; parts that are unchanged since the last bundle are not parsed again. */
+  private parseBundle(version: number, hashes: readonly string[]): Bundle | undefined {
     const [first = '', ...others] = hashes;
     const core = readBundleCore(`bundle ${version}`, this.parts.get(first) ?? '');
     if (core.isErr() || core.value.version !== version) return undefined;
@@ -184,7 +186,7 @@
     for (const text of await candidate.fetch(hashes)) this.parts.set(hashPart(text), text);
   }
 
-  private keepOnly(hashes: ReadonlySet<string>): void {
+  private removeOtherParts(hashes: ReadonlySet<string>): void {
     for (const hash of this.parts.keys()) {
       if (hashes.has(hash)) continue;
       this.parts.delete(hash);
@@ -192,17 +194,17 @@
     }
   }
 
-  private ask(link: PeerLink, hashes: readonly string[]): Promise<readonly string[]> {
+  private requestParts(link: PeerLink, hashes: readonly string[]): Promise<readonly string[]> {
     return new Promise((resolve) => {
       const timer = setTimeout(() => {
-        this.waiting = this.waiting.filter((entry) => entry.done !== done);
+        this.pendingRequests = this.pendingRequests.filter((entry) => entry.done !== done);
         resolve([]);
-      }, ASK_TIMEOUT_MS);
+      }, PART_REQUEST_TIMEOUT_MS);
       const done = (texts: string[]): void => {
         clearTimeout(timer);
         resolve(texts);
       };
-      this.waiting.push({ link, done });
+      this.pendingRequests.push({ link, done });
       if (!link.send({ kind: FrameKind.PartRequest, hashes: [...hashes] })) this.onLost(link);
     });
   }
--- a/packages/proxy/src/control/membership-service.ts
+++ b/packages/proxy/src/control/membership-service.ts
@@ -1,6 +1,7 @@
 /**
- * The member side of control traffic: sends heartbeats to the relays of its zone, and as a relay to
- * those of other zones; keeps each relay's view apart and joins them on the blackboard.
+ * Member side of the control traffic: sends heartbeats to the relays of its own zone and, while this
+ * host is a relay, to the preferred relay of each zone that it exchanges updates with. Keeps a
+ * separate view per relay and publishes the merged view on the blackboard.
  */
 import type { AzId, Blackboard, GroupRecord, HostId, Member } from '@gladespool/coordination';
 import {
@@ -17,104 +18,105 @@
 import { FrameKind, toGroupRecord } from '@gladespool/protocol';
 import type { ListedHost } from '@gladespool/platform';
 import type { PeerHandler, PeerLink, PeerNetwork } from '@gladespool/peers';
-import { membersOf } from './news-frame.js';
+import { membersOf } from './updates-frame.js';
 
-/** Times of membership. */
+/** Timing and number of relays. */
 export interface MembershipRules {
   readonly heartbeatMs: number;
   readonly expireMs: number;
   readonly relays: number;
 }
 
-/** Takes what relays tell beside members. */
-export interface NewsListener {
+/** Receives the records, bundle heads and members of other zones that relays report. */
+export interface UpdateListener {
   onRecord(record: GroupRecord): void;
   onBundleHead(head: string, link: PeerLink): void;
-  /** News about members of another zone, told by its relays. */
+  /** Called with a member of another zone that a relay of that zone reported. */
   onForeignMember(member: Member): void;
 }
 
-/** Options of membership. */
+/** Options of the membership service. */
 export interface MembershipOptions {
   readonly board: Blackboard;
   readonly network: PeerNetwork;
   readonly self: () => Member;
   readonly rules: MembershipRules;
-  /** Other zones whose relays this host exchanges news with while it is a relay. */
+  /** Other zones with whose relays this host exchanges updates while it is a relay. */
   readonly exchangeZones: () => readonly AzId[];
-  readonly listener: NewsListener;
+  readonly listener: UpdateListener;
   readonly log: Logger;
 }
 
-/** Looks for a due heartbeat so often in each base interval. */
-const TICKS_PER_BEAT = 4;
-/** Timers fire a little early or late. */
+/** Number of checks for a due heartbeat per base interval. */
+const TICKS_PER_HEARTBEAT = 4;
+/** Tolerance for timers that fire slightly early or late. */
 const TICK_SLACK_MS = 5;
 
 interface RelayView {
   readonly az: AzId;
   incarnation: number;
   upTo: number;
-  heardAt: number;
+  lastUpdateAt: number;
   members: Map<HostId, Member>;
 }
 
-/** Membership of one host. */
+/** Membership service of one host. */
 export class MembershipService implements PeerHandler {
   private readonly views = new Map<HostId, RelayView>();
-  /** Hosts that did not answer, with the time until which they are not asked. */
-  private readonly silent = new Map<HostId, number>();
-  private readonly askedAt = new Map<HostId, number>();
+  /** Unresponsive hosts, with the time until which they are not used as relays. */
+  private readonly unresponsive = new Map<HostId, number>();
+  /** Hosts that have not yet replied to a heartbeat, with the time of the first such heartbeat. */
+  private readonly awaitingSince = new Map<HostId, number>();
   private listed: readonly ListedHost[] = [];
   private readonly timer: NodeJS.Timeout;
-  private readonly loop: EventLoopMonitor;
-  /** Whether hosts that don't answer count as silent; not right after a pause of this process. */
-  private mayJudge = true;
+  private readonly loopMonitor: EventLoopMonitor;
+  /** Whether hosts may be marked unresponsive; false right after a pause of this process. */
+  private mayExpire = true;
   private readonly startedAt = performance.now();
-  private lastBeatAt = Number.NEGATIVE_INFINITY;
+  private lastHeartbeatAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: MembershipOptions) {
     options.network.addHandler(this);
-    const tickMs = options.rules.heartbeatMs / TICKS_PER_BEAT;
-    this.loop = new EventLoopMonitor(tickMs, performance.now());
+    const tickMs = options.rules.heartbeatMs / TICKS_PER_HEARTBEAT;
+    this.loopMonitor = new EventLoopMonitor(tickMs, performance.now());
     this.timer = setInterval(() => {
       this.tick(performance.now());
     }, tickMs);
   }
 
-  /** Whether this host is a relay of its zone as it sees it. */
+  /** Whether this host is a relay of its zone, according to its own view. */
   get isRelay(): boolean {
     return this.relaysIn(this.options.board.az).includes(this.options.board.host);
   }
 
-  /** Whether this host is the preferred relay of its zone as it sees it. */
+  /** Whether this host is the preferred relay of its zone, according to its own view. */
   get isFirstRelay(): boolean {
     return this.relaysIn(this.options.board.az)[0] === this.options.board.host;
   }
 
-  /** Zones that the platform lists. */
+  /** Zones in the host list of the platform. */
   get listedZones(): readonly AzId[] {
     return [...new Set(this.listed.map((host) => host.az))];
   }
 
-  /** Takes the platform's list: a hint whom to ask, never evidence. */
+  /** Stores the platform's host list: a hint where to send heartbeats, never evidence that a host is live. */
   putListed(hosts: readonly ListedHost[]): void {
     this.listed = hosts;
-    if (this.views.size === 0) this.beat(performance.now());
+    if (this.views.size === 0) this.sendHeartbeats(performance.now());
   }
 
   private tick(now: number): void {
-    this.mayJudge = this.loop.recordTick(now);
+    this.mayExpire = this.loopMonitor.recordTick(now);
     const { board, rules } = this.options;
     const members = activeHosts(board.members, board.az).length;
     const interval = heartbeatIntervalMs(rules.heartbeatMs, members, rules.expireMs);
-    if (now - this.lastBeatAt >= interval - TICK_SLACK_MS) this.beat(now);
+    if (now - this.lastHeartbeatAt >= interval - TICK_SLACK_MS) this.sendHeartbeats(now);
   }
 
-  /** Sends heartbeats now. */
-  beat(now: number): void {
-    this.lastBeatAt = now;
-    if (this.mayJudge) this.noteSilence(now);
+  /** Sends heartbeats immediately. */
+  sendHeartbeats(now: number): void {
+    this.lastHeartbeatAt = now;
+    if (this.mayExpire) this.expireRelays(now);
     const { board } = this.options;
     const targets = new Set(this.relaysIn(board.az));
     if (targets.has(board.host)) {
@@ -123,37 +125,37 @@
         if (first !== undefined) targets.add(first);
       }
     }
-    for (const host of targets) this.beatTo(host, now);
+    for (const host of targets) this.sendHeartbeat(host, now);
     this.publish();
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
-    if (frame.kind === FrameKind.Updates) this.takeNews(link, frame);
+    if (frame.kind === FrameKind.Updates) this.handleUpdates(link, frame);
   }
 
   onLost(link: PeerLink): void {
-    if (this.askedAt.has(link.host as HostId)) this.beat(performance.now());
+    if (this.awaitingSince.has(link.host as HostId)) this.sendHeartbeats(performance.now());
   }
 
   stop(): void {
     clearInterval(this.timer);
   }
 
-  /** Relays of a zone by what this host knows, those that don't answer left out. */
+  /** Relays of a zone among the hosts known here, without unresponsive ones. */
   private relaysIn(az: AzId): readonly HostId[] {
     const known = new Set<HostId>(activeHosts(this.options.board.members, az));
     for (const host of this.listed) if (host.az === az && !host.leaving) known.add(host.host);
     if (az === this.options.board.az && !this.options.board.draining) {
       known.add(this.options.board.host);
     }
-    const asked = [...known].filter((host) => !this.silent.has(host));
-    return relaysOf(az, asked, this.options.rules.relays);
+    const responsive = [...known].filter((host) => !this.unresponsive.has(host));
+    return relaysOf(az, responsive, this.options.rules.relays);
   }
 
-  private beatTo(host: HostId, now: number): void {
+  private sendHeartbeat(host: HostId, now: number): void {
     const target = this.addressOf(host);
     if (target === undefined) return;
-    if (!this.askedAt.has(host)) this.askedAt.set(host, now);
+    if (!this.awaitingSince.has(host)) this.awaitingSince.set(host, now);
     const view = this.views.get(host);
     void this.options.network.sendTo(target, {
       kind: FrameKind.Heartbeat,
@@ -171,25 +173,25 @@
     return this.listed.find((entry) => entry.host === host);
   }
 
-  private takeNews(link: PeerLink, frame: FrameOf<FrameKind.Updates>): void {
+  private handleUpdates(link: PeerLink, frame: FrameOf<FrameKind.Updates>): void {
     const host = link.host as HostId;
     const now = performance.now();
-    this.askedAt.delete(host);
-    this.silent.delete(host);
+    this.awaitingSince.delete(host);
+    this.unresponsive.delete(host);
     const view = this.viewOf(host, frame.incarnation);
     view.upTo = frame.upTo;
-    view.heardAt = now;
+    view.lastUpdateAt = now;
     for (const member of membersOf(frame)) {
       view.members.set(member.host, member);
-      this.tellForeign(view, member);
+      this.reportForeignMember(view, member);
     }
     for (const record of frame.records) this.options.listener.onRecord(toGroupRecord(record));
     if (frame.bundle !== undefined) this.options.listener.onBundleHead(frame.bundle, link);
     if (frame.members.length > 0) this.publish();
   }
 
-  /** A relay passes on what relays of other zones say about their own members. */
-  private tellForeign(view: RelayView, member: Member): void {
+  /** On a relay, forwards what relays of other zones report about members of their own zone. */
+  private reportForeignMember(view: RelayView, member: Member): void {
     const isForeign = view.az !== this.options.board.az && member.az === view.az;
     if (isForeign && this.isRelay) this.options.listener.onForeignMember(member);
   }
@@ -198,47 +200,55 @@
     const held = this.views.get(host);
     if (held?.incarnation === incarnation) return held;
     const az = this.addressOf(host)?.az ?? this.options.board.az;
-    const heardAt = performance.now();
-    const view: RelayView = { az, incarnation, upTo: 0, heardAt, members: new Map() };
+    const lastUpdateAt = performance.now();
+    const view: RelayView = {
+      az,
+      incarnation,
+      upTo: 0,
+      lastUpdateAt,
+      members: new Map(),
+    };
     this.views.set(host, view);
     return view;
   }
 
-  /** Leaves out hosts that have not answered for too long, for a while. */
-  private noteSilence(now: number): void {
+  /** Excludes hosts for one expiry time that have not replied for that long, and drops their expired views. */
+  private expireRelays(now: number): void {
     const { expireMs } = this.options.rules;
-    for (const [host, until] of this.silent) if (now >= until) this.silent.delete(host);
-    for (const [host, since] of this.askedAt) {
+    for (const [host, until] of this.unresponsive) if (now >= until) this.unresponsive.delete(host);
+    for (const [host, since] of this.awaitingSince) {
       if (now - since < expireMs) continue;
-      this.askedAt.delete(host);
-      this.silent.set(host, now + expireMs);
+      this.awaitingSince.delete(host);
+      this.unresponsive.set(host, now + expireMs);
       this.options.log.warn('relay-silent', { relay: host, for_ms: Math.round(now - since) });
     }
     for (const [host, view] of this.views) {
-      if (now - view.heardAt <= expireMs) continue;
+      if (now - view.lastUpdateAt <= expireMs) continue;
       this.views.delete(host);
-      if (view.az !== this.options.board.az) this.loseZone(view);
+      if (view.az !== this.options.board.az) this.expireZone(view);
     }
   }
 
-  /** A foreign zone whose relays are silent: its hosts can't be reached from here. */
-  private loseZone(lost: RelayView): void {
-    const others = [...this.views.values()].some((view) => view.az === lost.az);
-    if (others || !this.isRelay) return;
-    for (const member of lost.members.values()) {
+  /** Marks the hosts of another zone as gone when all of its relays are unreachable from here. */
+  private expireZone(expired: RelayView): void {
+    const hasOtherView = [...this.views.values()].some((view) => view.az === expired.az);
+    if (hasOtherView || !this.isRelay) return;
+    for (const member of expired.members.values()) {
       this.options.listener.onForeignMember({ ...member, state: MemberState.Gone });
     }
   }
 
   /**
-   * A host that has heard no relay yet would take every home of its zone; it waits for the first
-   * news unless the platform lists nobody else there, or nobody answers for the expiry time.
+   * Whether the members of this zone are known. A host that has not yet received updates from a relay
+   * would consider itself the home of every group of its zone. It therefore waits for the first
+   * updates, unless the platform lists no other host in the zone or nobody replies within the expiry
+   * time.
    */
-  private knowsMembers(viewsHeard: number): boolean {
+  private areMembersKnown(viewCount: number): boolean {
     const { board, rules } = this.options;
     const others = this.listed.filter((host) => host.az === board.az && host.host !== board.host);
-    const heardOther = [...this.views.keys()].some((host) => host !== board.host);
-    if (heardOther || (viewsHeard > 0 && others.length === 0)) return true;
+    const hasOtherView = [...this.views.keys()].some((host) => host !== board.host);
+    if (hasOtherView || (viewCount > 0 && others.length === 0)) return true;
     return performance.now() - this.startedAt > rules.expireMs;
   }
 
@@ -246,14 +256,14 @@
     const { board, self } = this.options;
     const own = self();
     const views = [...this.views.values()].map((view) => [...view.members.values()]);
-    const joined = mergeViews(views).filter((member) => member.host !== own.host);
-    const members = [...joined, own];
-    if (!sameList(members, board.members)) board.putMembers(members);
-    if (this.knowsMembers(views.length)) board.markMembersKnown();
+    const merged = mergeViews(views).filter((member) => member.host !== own.host);
+    const members = [...merged, own];
+    if (!sameMembers(members, board.members)) board.putMembers(members);
+    if (this.areMembersKnown(views.length)) board.markMembersKnown();
   }
 }
 
-function sameList(a: readonly Member[], b: readonly Member[]): boolean {
+function sameMembers(a: readonly Member[], b: readonly Member[]): boolean {
   if (a.length !== b.length) return false;
   const held = new Map(b.map((member) => [member.host, member]));
   return a.every((member) => {
--- a/packages/proxy/src/control/relay-service.ts
+++ b/packages/proxy/src/control/relay-service.ts
@@ -1,7 +1,7 @@
 /**
- * The relay side of control traffic: takes heartbeats, judges who lives, answers with news, and
- * pushes news at once to every host that sends heartbeats here. Every host can be a relay; which
- * ones are follows from membership.
+ * Relay side of the control traffic: receives heartbeats, tracks which hosts are live, replies with
+ * updates, and pushes updates without waiting for the next heartbeat to every host that sends
+ * heartbeats to it. Every host can be a relay; membership determines which hosts are.
  */
 import type { AzId, TrackedMember, HostId, Member } from '@gladespool/coordination';
 import {
@@ -15,27 +15,28 @@
 import type { Frame, FrameOf } from '@gladespool/protocol';
 import { FrameKind } from '@gladespool/protocol';
 import type { PeerHandler, PeerLink } from '@gladespool/peers';
-import { NewsBoard } from './news-board.js';
-import { newsFrame } from './news-frame.js';
+import { UpdateLog } from './update-log.js';
+import { updatesFrame } from './updates-frame.js';
 
-/** Times of a relay. */
+/** Timing of a relay. */
 export interface RelayRules {
   readonly expireMs: number;
-  /** Changes within this time go out together, milliseconds. */
+  /** Changes within this time are sent together, milliseconds. */
   readonly pushDelayMs: number;
 }
 
-/** Parts of a bundle by hash, as the relay holds them. */
+/** Returns the text of a bundle part by its hash; undefined if the relay does not hold it. */
 export type PartSource = (hash: string) => string | undefined;
 
 /** Relay role of one host. */
 export class RelayService implements PeerHandler {
-  readonly news = new NewsBoard();
-  private readonly heard = new Map<HostId, TrackedMember>();
-  private readonly versions = new Map<HostId, number>();
+  readonly news = new UpdateLog();
+  private readonly tracked = new Map<HostId, TrackedMember>();
+  private readonly bundleVersions = new Map<HostId, number>();
+  /** Counter value up to which updates have been sent on each link. */
   private readonly sentUpTo = new Map<PeerLink, number>();
-  private readonly expiry: NodeJS.Timeout;
-  private readonly loop: EventLoopMonitor;
+  private readonly expiryTimer: NodeJS.Timeout;
+  private readonly loopMonitor: EventLoopMonitor;
   private pushTimer: NodeJS.Timeout | undefined;
 
   constructor(
@@ -44,35 +45,39 @@
     private readonly rules: RelayRules,
     private readonly parts: PartSource,
   ) {
-    const checkMs = rules.expireMs / EXPIRY_CHECKS;
-    this.loop = new EventLoopMonitor(checkMs, performance.now());
-    this.expiry = setInterval(() => {
+    const checkMs = rules.expireMs / EXPIRY_CHECKS_PER_PERIOD;
+    this.loopMonitor = new EventLoopMonitor(checkMs, performance.now());
+    this.expiryTimer = setInterval(() => {
       const now = performance.now();
-      if (this.loop.recordTick(now)) this.expire(now);
+      if (this.loopMonitor.recordTick(now)) this.expire(now);
     }, checkMs);
   }
 
-  /** Hosts that send heartbeats here. */
+  /** Number of links that heartbeats arrive on and that receive updates. */
   get subscribers(): number {
     return this.sentUpTo.size;
   }
 
-  /** Live hosts heard of this zone with the bundle version that each has in force. */
+  /** Live hosts of this zone and the bundle version that each of them has installed. */
   get hostVersions(): ReadonlyMap<HostId, number> {
-    const live = [...this.heard.values()].filter(({ member }) => member.state !== MemberState.Gone);
-    return new Map(live.map(({ member }) => [member.host, this.versions.get(member.host) ?? 0]));
+    const live = [...this.tracked.values()].filter(
+      ({ member }) => member.state !== MemberState.Gone,
+    );
+    return new Map(
+      live.map(({ member }) => [member.host, this.bundleVersions.get(member.host) ?? 0]),
+    );
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
-    if (frame.kind === FrameKind.Heartbeat) this.takeBeat(link, frame);
-    if (frame.kind === FrameKind.PartRequest) this.answerParts(link, frame.hashes);
+    if (frame.kind === FrameKind.Heartbeat) this.handleHeartbeat(link, frame);
+    if (frame.kind === FrameKind.PartRequest) this.sendParts(link, frame.hashes);
   }
 
   onLost(link: PeerLink): void {
     this.sentUpTo.delete(link);
   }
 
-  /** Tells subscribers of changes on the news board, soon and together. */
+  /** Sends pending updates to all subscribers after the push delay, so that changes are batched. */
   push(): void {
     this.pushTimer ??= setTimeout(() => {
       this.pushTimer = undefined;
@@ -81,44 +86,44 @@
   }
 
   stop(): void {
-    clearInterval(this.expiry);
+    clearInterval(this.expiryTimer);
     clearTimeout(this.pushTimer);
   }
 
-  private takeBeat(link: PeerLink, beat: FrameOf<FrameKind.Heartbeat>): void {
-    const member = memberOf(beat.self);
+  private handleHeartbeat(link: PeerLink, heartbeat: FrameOf<FrameKind.Heartbeat>): void {
+    const member = memberOf(heartbeat.self);
     const isOwn = member.az === this.az;
-    if (isOwn) this.versions.set(member.host, beat.bundleVersion);
-    if (isOwn) this.judge(member, performance.now());
-    const knows = beat.heardOf === this.incarnation ? beat.heardUpTo : 0;
-    this.send(link, knows);
+    if (isOwn) this.bundleVersions.set(member.host, heartbeat.bundleVersion);
+    if (isOwn) this.recordHeartbeat(member, performance.now());
+    const receivedUpTo = heartbeat.heardOf === this.incarnation ? heartbeat.heardUpTo : 0;
+    this.send(link, receivedUpTo);
   }
 
-  private judge(member: Member, now: number): void {
-    const effect = applyHeartbeat(this.heard.get(member.host), member, now);
-    this.heard.set(member.host, effect.heard);
+  private recordHeartbeat(member: Member, now: number): void {
+    const effect = applyHeartbeat(this.tracked.get(member.host), member, now);
+    this.tracked.set(member.host, effect.heard);
     if (this.news.putMember(effect.heard.member)) this.push();
   }
 
   private expire(now: number): void {
-    for (const gone of expiredMembers([...this.heard.values()], now, this.rules.expireMs)) {
-      this.heard.set(gone.host, { member: gone, lastHeartbeatAt: now });
+    for (const gone of expiredMembers([...this.tracked.values()], now, this.rules.expireMs)) {
+      this.tracked.set(gone.host, { member: gone, lastHeartbeatAt: now });
       if (this.news.putMember(gone)) this.push();
     }
-    for (const [host, { member, lastHeartbeatAt }] of this.heard) {
+    for (const [host, { member, lastHeartbeatAt }] of this.tracked) {
       const isOld = now - lastHeartbeatAt > this.rules.expireMs * FORGET_FACTOR;
       if (member.state !== MemberState.Gone || !isOld) continue;
-      this.heard.delete(host);
-      this.versions.delete(host);
+      this.tracked.delete(host);
+      this.bundleVersions.delete(host);
     }
   }
 
-  private send(link: PeerLink, heard: number): void {
-    if (!link.send(newsFrame(this.news.after(heard), this.incarnation))) return;
+  private send(link: PeerLink, receivedUpTo: number): void {
+    if (!link.send(updatesFrame(this.news.after(receivedUpTo), this.incarnation))) return;
     this.sentUpTo.set(link, this.news.upTo);
   }
 
-  private answerParts(link: PeerLink, hashes: readonly string[]): void {
+  private sendParts(link: PeerLink, hashes: readonly string[]): void {
     const parts = hashes.flatMap((hash) => {
       const text = this.parts(hash);
       return text === undefined ? [] : [{ hash, text }];
@@ -127,7 +132,8 @@
   }
 }
 
-const EXPIRY_CHECKS = 4;
+const EXPIRY_CHECKS_PER_PERIOD = 4;
+/** Multiple of the expiry time after which a gone host is removed. */
 const FORGET_FACTOR = 20;
 
 function memberOf(self: FrameOf<FrameKind.Heartbeat>['self']): Member {
--- a/packages/proxy/src/control/suspicion-poll.ts
+++ b/packages/proxy/src/control/suspicion-poll.ts
@@ -1,65 +1,69 @@
 /**
- * Asks homes of other zones whether they suspect a primary too, and answers them.
+ * Requests from homes in other zones whether they also suspect a primary, and replies to their requests.
  */
 import type { AzId, GroupId, Member, ZoneVote } from '@gladespool/coordination';
 import type { Frame } from '@gladespool/protocol';
 import { FrameKind, TimeLimit } from '@gladespool/protocol';
 import type { PeerHandler, PeerLink, PeerNetwork } from '@gladespool/peers';
 
-/** Tells whether this host, as a home of the group, suspects the primary of a term. */
-export type OwnOpinion = (group: string, term: number) => boolean;
+/** Returns whether this host, as a home of the group, suspects the primary of a term. */
+export type LocalSuspicion = (group: string, term: number) => boolean;
 
-const ANSWER_TIMEOUT_MS = 400;
+const REPLY_TIMEOUT_MS = 400;
 
-/** Exchange of opinions. */
+/** Collects the votes of other zones on a suspected primary. */
 export class SuspicionPoll implements PeerHandler {
   private readonly pending = new Map<number, (suspects: boolean) => void>();
   private lastId = 0;
 
   constructor(
     private readonly network: PeerNetwork,
-    private readonly ownOpinion: OwnOpinion,
+    private readonly localSuspicion: LocalSuspicion,
   ) {
     network.addHandler(this);
   }
 
-  /** Opinion of each home that answered in time. */
-  async ask(group: GroupId, term: number, homes: readonly Member[]): Promise<readonly ZoneVote[]> {
-    const answers = homes.map((home) => this.askOne(group, term, home));
-    const opinions = await Promise.all(answers);
-    return opinions.filter((opinion) => opinion !== undefined);
+  /** Requests the vote of each home; homes that do not reply in time are omitted. */
+  async collectVotes(
+    group: GroupId,
+    term: number,
+    homes: readonly Member[],
+  ): Promise<readonly ZoneVote[]> {
+    const requests = homes.map((home) => this.requestVote(group, term, home));
+    const votes = await Promise.all(requests);
+    return votes.filter((vote) => vote !== undefined);
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
     if (frame.kind === FrameKind.SuspicionRequest) {
-      const suspects = this.ownOpinion(frame.group, frame.term);
+      const suspects = this.localSuspicion(frame.group, frame.term);
       link.send({ kind: FrameKind.SuspicionReply, id: frame.id, suspects });
     }
     if (frame.kind === FrameKind.SuspicionReply) this.pending.get(frame.id)?.(frame.suspects);
   }
 
   onLost(): void {
-    // Answers that were lost with a link time out like any other.
+    // Requests whose reply was lost with the link time out like any other.
   }
 
-  private askOne(group: GroupId, term: number, home: Member): Promise<ZoneVote | undefined> {
+  private requestVote(group: GroupId, term: number, home: Member): Promise<ZoneVote | undefined> {
     this.lastId += 1;
     const id = this.lastId;
     const az: AzId = home.az;
     return new Promise((resolve) => {
-      const done = (opinion: ZoneVote | undefined): void => {
+      const done = (vote: ZoneVote | undefined): void => {
         limit.clear();
         this.pending.delete(id);
-        resolve(opinion);
+        resolve(vote);
       };
-      const limit = new TimeLimit(ANSWER_TIMEOUT_MS, () => {
+      const limit = new TimeLimit(REPLY_TIMEOUT_MS, () => {
         done(undefined);
       });
       this.pending.set(id, (suspects) => {
         done({ az, suspects });
       });
-      const ask = { kind: FrameKind.SuspicionRequest, id, group, term } as const;
-      void this.network.sendTo(home, ask).then((sent) => {
+      const request = { kind: FrameKind.SuspicionRequest, id, group, term } as const;
+      void this.network.sendTo(home, request).then((sent) => {
         if (!sent) done(undefined);
       });
     });
--- a/packages/proxy/src/control/news-frame.ts
+++ b/packages/proxy/src/control/updates-frame.ts
@@ -1,18 +1,18 @@
 /**
- * News between its typed form and frames.
+ * Conversion of updates to and from frames.
  */
 import type { Member } from '@gladespool/coordination';
 import { azId, hostId } from '@gladespool/coordination';
 import type { FrameOf } from '@gladespool/protocol';
 import { FrameKind } from '@gladespool/protocol';
-import type { News } from './news-board.js';
+import type { Updates } from './update-log.js';
 
-type NewsFrame = FrameOf<FrameKind.Updates>;
+type UpdatesFrame = FrameOf<FrameKind.Updates>;
 
-/** Frame that carries news of the relay with this incarnation. */
-export function newsFrame(news: News, incarnation: number): NewsFrame {
-  const { members, records, bundle, upTo } = news;
-  const frame: NewsFrame = {
+/** Returns a frame with updates of the relay with this incarnation. */
+export function updatesFrame(updates: Updates, incarnation: number): UpdatesFrame {
+  const { members, records, bundle, upTo } = updates;
+  const frame: UpdatesFrame = {
     kind: FrameKind.Updates,
     incarnation,
     upTo,
@@ -22,8 +22,8 @@
   return bundle === undefined ? frame : { ...frame, bundle };
 }
 
-/** Members of a frame. */
-export function membersOf(frame: NewsFrame): readonly Member[] {
+/** Returns the members of a frame. */
+export function membersOf(frame: UpdatesFrame): readonly Member[] {
   return frame.members.map((member) => ({
     ...member,
     host: hostId(member.host),
--- a/packages/proxy/src/host.ts
+++ b/packages/proxy/src/host.ts
@@ -1,5 +1,5 @@
 /**
- * One entry host: puts the parts together around a blackboard.
+ * One entry host: creates its services around a shared blackboard and connects them.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { Socket } from 'node:net';
@@ -37,7 +37,7 @@
 import { StatusServer } from './http/status-server.js';
 import { PeerNetwork } from '@gladespool/peers';
 
-/** Ways out of a host; tests and experiments put their own in place. */
+/** Outgoing network access of a host; tests and experiments substitute their own. */
 export interface HostPorts {
   /** Opens a connection. */
   readonly dial: (port: number, address: string) => Socket;
@@ -51,13 +51,13 @@
   readonly ports?: HostPorts;
   readonly tls?: CallerTls;
   readonly routing?: ReadRouting;
-  /** Seed of every random choice of this host. */
+  /** Seed of the random number generators of this host. */
   readonly seed: number;
-  /** Start time of the process, milliseconds since the epoch; tells restarts apart. */
+  /** Start time of the process, milliseconds since the epoch; distinguishes restarts. */
   readonly incarnation: number;
 }
 
-/** Ports of plain sockets. */
+/** Network access through plain TCP sockets. */
 export const NET_PORTS: HostPorts = {
   dial: (port, address) => new NetSocket().connect(port, address),
   createSocket: () => new NetSocket(),
@@ -140,7 +140,7 @@
     });
   }
 
-  /** Starts to listen and joins the deployment. */
+  /** Opens the listening ports and joins the deployment. */
   async start(): Promise<void> {
     const { listen, hostList } = this.options.settings;
     await this.network.listen(listen.address, listen.peer_port);
@@ -148,26 +148,26 @@
     await this.status.listen(listen.address, listen.metrics_port);
     this.board.putMembers([this.self()]);
     void this.readHostList();
-    this.membership.beat(performance.now());
+    this.membership.sendHeartbeats(performance.now());
     this.listTimer = setInterval(() => {
       void this.readHostList();
     }, hostList.interval_ms);
     this.log.info('started', { caller_port: this.callers.port, peer_port: this.network.port });
   }
 
-  /** Planned stop: leaves, takes no new work, finishes what it has, then closes everything. */
+  /** Planned stop: announces that it leaves, accepts no new work, finishes its work, then stops. */
   async drain(): Promise<void> {
     const { drain_ms: drainMs } = this.options.settings.caller;
     this.log.info('draining');
     this.board.draining = true;
-    this.membership.beat(performance.now());
+    this.membership.sendHeartbeats(performance.now());
     await this.callers.drain(drainMs);
     await pause(this.options.settings.peer.heartbeat_ms);
     await this.homes.drain(drainMs);
     await this.stop();
   }
 
-  /** Closes everything at once. */
+  /** Closes all services and connections immediately. */
   async stop(): Promise<void> {
     clearInterval(this.listTimer);
     this.promotions.stop();
@@ -216,16 +216,16 @@
     this.log.warn('host-list-failed', { step, peer, error: message });
   }
 
-  private takeRecord(record: GroupRecord): void {
+  private handleRecord(record: GroupRecord): void {
     this.board.putRecord(record, performance.now());
     if (this.relay.news.putRecord(record)) this.relay.push();
   }
 
   /**
-   * Takes a head from the store, but not before relays of the zone could tell of a newer one: a host
-   * that starts must not put in force what the others have left behind.
+   * Offers a head from the store, but only after relays of the zone could have reported a newer one: a
+   * starting host must not install a bundle version that the other hosts have already replaced.
    */
-  private takeStoredHead(stored: StoredHead): void {
+  private handleStoredHead(stored: StoredHead): void {
     if (this.board.membersKnown) this.bundle.offer(stored.head, stored.fetch);
     else this.storedHead = stored;
   }
@@ -261,7 +261,7 @@
       log: this.log,
       listener: {
         onRecord: (record) => {
-          this.takeRecord(record);
+          this.handleRecord(record);
         },
         onBundleHead: (head, link) => {
           this.bundle.offerFromLink(head, link);
@@ -273,7 +273,7 @@
     });
   }
 
-  /** Zones that share a group with this one; before a bundle is held, every zone listed. */
+  /** Other zones that share a group with this one; without a bundle, all other listed zones. */
   private exchangeZones(): readonly AzId[] {
     const { az } = this.options.settings;
     const groups = [...(this.board.bundle?.groups.values() ?? [])];
@@ -323,10 +323,10 @@
       maxRetryMs: STORE_MAX_RETRY_MS,
       listener: {
         onBundleHead: (head, fetch) => {
-          this.takeStoredHead({ head, fetch });
+          this.handleStoredHead({ head, fetch });
         },
         onRecord: (record) => {
-          this.takeRecord(record);
+          this.handleRecord(record);
         },
       },
     });
@@ -353,7 +353,7 @@
       metrics: this.metrics,
       log: createLogger('promotion', { host: settings.host, az: settings.az }),
       onRecord: (record) => {
-        this.takeRecord(record);
+        this.handleRecord(record);
       },
       rules: {
         homesPerGroup: settings.peer.homes_per_group,
@@ -398,7 +398,7 @@
   }
 }
 
-/** A bundle's head read from the store, and how to get its parts. */
+/** Head of a bundle that was read from the store, with the function that fetches its parts. */
 interface StoredHead {
   readonly head: string;
   readonly fetch: PartFetch;
--- a/packages/proxy/src/http/status-server.ts
+++ b/packages/proxy/src/http/status-server.ts
@@ -1,5 +1,5 @@
 /**
- * HTTP side of a host for operators' tools: /metrics, /healthz, /readyz.
+ * HTTP endpoints of a host for operators' tools: /metrics, /healthz, /readyz.
  */
 import type { Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
@@ -9,17 +9,17 @@
 /** Options of the server. */
 export interface StatusServerOptions {
   readonly metrics: HostMetrics;
-  /** Why the host can't take callers; undefined when it can. */
+  /** Returns why the host cannot accept callers; undefined if it can. */
   readonly notReady: () => string | undefined;
 }
 
-/** Serves metrics and health. */
+/** Serves metrics, liveness and readiness over HTTP. */
 export class StatusServer {
   private readonly server: Server;
 
   constructor(private readonly options: StatusServerOptions) {
     this.server = createServer((req, res) => {
-      void this.answer(req.url ?? '', res);
+      void this.respond(req.url ?? '', res);
     });
   }
 
@@ -39,7 +39,7 @@
     await new Promise((resolve) => this.server.close(resolve));
   }
 
-  private async answer(url: string, res: ServerResponse): Promise<void> {
+  private async respond(url: string, res: ServerResponse): Promise<void> {
     if (url === '/metrics') {
       const { registry } = this.options.metrics;
       res.setHeader('content-type', registry.contentType);
--- a/packages/proxy/tests/run-control.steps.ts
+++ b/packages/proxy/tests/run-control.steps.ts
@@ -13,13 +13,13 @@
 
 const UPSTREAM = upstreamId('u1');
 
-/** Told by the connection itself, so that it shows whether the statement got there. */
-const TOLD = gladespoolError({ step: Step.UpstreamExchange, peer: UPSTREAM }, 'refused');
+/** Error of the control connection itself; shows whether the statement reached the connection. */
+const CONTROL_ERROR = gladespoolError({ step: Step.UpstreamExchange, peer: UPSTREAM }, 'refused');
 
 Given(
   /^a home (with a|that has no) control connection to the upstream$/,
   function (this: ControlWorld, which: string) {
-    const control = { run: () => Promise.resolve(err(TOLD)) };
+    const control = { run: () => Promise.resolve(err(CONTROL_ERROR)) };
     this.home = { control: () => (which === 'with a' ? control : undefined) };
   },
 );
