--- a/packages/proxy/src/home/acknowledger.ts
+++ b/packages/proxy/src/home/acknowledger.ts
@@ -1,6 +1,6 @@
 /**
- * Holds answers until their positions can't be lost. Waiters of a group share one round of status
- * queries: each round answers everyone who waits.
+ * Delays answers until the positions that they depend on are durable. All waiters of a group share
+ * rounds of status queries: after each round, every waiter is evaluated.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type {
@@ -13,7 +13,7 @@
 } from '@gladespool/coordination';
 import { AckDecision, authorityAt } from '@gladespool/coordination';
 
-/** Asks every upstream of a group for its status once; reports arrive on the blackboard. */
+/** Queries the status of every upstream of a group once; the reports are written to the blackboard. */
 export type ProbeRound = () => Promise<void>;
 
 /** Options of an acknowledger. */
@@ -30,24 +30,27 @@
   readonly settle: (verdict: AckDecision) => void;
 }
 
-/** Pause between rounds that brought nothing, milliseconds. */
+/** Pause after a round that settled no waiter, milliseconds. */
 const ROUND_PAUSE_MS = 1;
 
-/** Confirms positions of one group. */
+/** Confirms positions of one group, and that its primary is current. */
 export class Acknowledger {
   private waiters: Waiter[] = [];
   private probing = false;
 
   constructor(private readonly options: AcknowledgerOptions) {}
 
-  /** Waits until `position` is confirmed, superseded, or `deadlineAt` (then `Waiting`). */
+  /**
+   * Waits until `position` is confirmed or superseded, at most until `deadlineAt`, local milliseconds;
+   * at the deadline the decision is `Waiting`.
+   */
   confirm(position: Position, deadlineAt: number): Promise<AckDecision> {
     return this.wait(() => this.decide(position), deadlineAt);
   }
 
   /**
-   * Waits until the primary of `term` is proved not to have been superseded at `since`, local
-   * milliseconds, or `deadlineAt` (then `Waiting`).
+   * Waits until reports prove that the primary of `term` was not superseded at `since`, at most until
+   * `deadlineAt`, both in local milliseconds; at the deadline the decision is `Waiting`.
    */
   confirmAuthority(term: number, since: number, deadlineAt: number): Promise<AckDecision> {
     return this.wait(() => this.decideAuthority(term, since), deadlineAt);
@@ -73,7 +76,7 @@
     this.probing = false;
   }
 
-  /** Settles waiters whose verdict is known or whose time is over. */
+  /** Settles the waiters that have a decision or whose deadline has passed. */
   settleDecided(now: number): void {
     const waiting: Waiter[] = [];
     for (const waiter of this.waiters) {
--- a/packages/proxy/src/home/group-home.ts
+++ b/packages/proxy/src/home/group-home.ts
@@ -1,5 +1,6 @@
 /**
- * One group's home: its pools, its view of the upstreams, and the running of requests.
+ * Home of one group: connection pools, control connections and status of its upstreams, open
+ * transactions, and the count of requests in progress.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type {
@@ -32,7 +33,7 @@
 import { OpenTransactions } from './open-transactions.js';
 import { StatusWatcher } from './status-watcher.js';
 
-/** Times and bounds of homes. */
+/** Timing and limits of homes. */
 export interface HomeRules {
   readonly statusIntervalMs: number;
   readonly statusTimeoutMs: number;
@@ -41,7 +42,7 @@
   readonly maxWaiting: number;
 }
 
-/** What every home of a host shares. */
+/** Dependencies and settings that all homes of a host share. */
 export interface HomeContext {
   readonly board: Blackboard;
   readonly access: UpstreamAccess;
@@ -60,7 +61,7 @@
   private readonly pools = new Map<UpstreamId, ConnectionPool<UpstreamConnection>>();
   private readonly upstreamControls = new Map<UpstreamId, UpstreamControl>();
   private running = 0;
-  private part = 1;
+  private maxConnections = 1;
   private stopped = false;
 
   constructor(
@@ -94,12 +95,12 @@
     return this.context.board.record(this.group)?.record;
   }
 
-  /** Requests in progress and transactions open. */
+  /** Number of requests in progress plus open transactions. */
   get busy(): number {
     return this.running + this.transactions.size;
   }
 
-  /** Notes the begin of a request; the result notes its end. */
+  /** Counts a request as in progress until the returned function is called. */
   enter(): () => void {
     this.running += 1;
     return () => {
@@ -107,14 +108,14 @@
     };
   }
 
-  /** Sets the connections that this home may hold to each upstream. */
-  setPart(connections: number): void {
-    if (connections === this.part) return;
-    this.part = connections;
+  /** Sets how many connections this home may hold to each upstream. */
+  setMaxConnections(connections: number): void {
+    if (connections === this.maxConnections) return;
+    this.maxConnections = connections;
     for (const pool of this.pools.values()) pool.resize(this.limits());
   }
 
-  /** The pool of an upstream. */
+  /** Returns the connection pool of an upstream, created at first use. */
   pool(spec: UpstreamSpec): ConnectionPool<UpstreamConnection> {
     const held = this.pools.get(spec.id);
     if (held !== undefined) return held;
@@ -133,7 +134,10 @@
     return pool;
   }
 
-  /** The control connection of an upstream. */
+  /**
+   * Returns the control connection of an upstream; replaces it when the upstream's address or port
+   * has changed. Undefined for an unknown upstream or once the home is closed.
+   */
   control(id: UpstreamId): UpstreamControl | undefined {
     const spec = this.spec?.upstreams.find((upstream) => upstream.id === id);
     if (spec === undefined || this.stopped) return undefined;
@@ -150,7 +154,7 @@
         metrics.controlBytes.inc({ traffic: ControlTraffic.Upstreams }, bytes);
       },
       onResult: (result) => {
-        this.watcher.note(id, result);
+        this.watcher.recordResult(id, result);
         this.acknowledger.settleDecided(performance.now());
       },
     });
@@ -158,7 +162,7 @@
     return control;
   }
 
-  /** What is known of every upstream at `now`. */
+  /** Returns the health, load and staleness of every upstream as known at `now`, local milliseconds. */
   views(spec: GroupSpec, record: GroupRecord, now: number): readonly UpstreamView[] {
     const { marks, authority, applyRates } = this.context.board.observation(this.group, now);
     const proof = { marks, lineage: record.lineage, authority };
@@ -177,21 +181,21 @@
     });
   }
 
-  /** Latest report of each upstream that has answered. */
+  /** Returns the latest report of each upstream that has sent one. */
   reports(spec: GroupSpec): readonly TimedReport[] {
     return spec.upstreams
       .map((upstream) => this.context.board.healthOf(this.group, upstream.id).last)
       .filter((timed) => timed !== undefined);
   }
 
-  /** Time for which no write could have been confirmed, milliseconds. */
+  /** Returns for how long no write could have been confirmed, milliseconds. */
   unconfirmableMs(spec: GroupSpec, record: GroupRecord, now: number): number {
     const { marks, authority, watchingSince } = this.context.board.observation(this.group, now);
     const reports = this.reports(spec).map((timed) => timed.report);
     return unconfirmableMs({ spec, record, marks, authority, watchingSince, reports }, now);
   }
 
-  /** Stops new work, lets open work end, closes every connection. */
+  /** Waits at most `timeoutMs` for requests and transactions to end, then closes every connection. */
   async retire(timeoutMs: number): Promise<void> {
     const until = performance.now() + timeoutMs;
     while (this.busy > 0 && performance.now() < until) await pause(RETIRE_POLL_MS);
@@ -212,17 +216,17 @@
   }
 
   private rule(): AcknowledgementRule {
-    return RULES[this.spec?.acknowledgement ?? AcknowledgementKind.Majority];
+    return ACKNOWLEDGEMENT_RULES[this.spec?.acknowledgement ?? AcknowledgementKind.Majority];
   }
 
   private limits(): { readonly maxConnections: number; readonly maxWaiting: number } {
-    return { maxConnections: this.part, maxWaiting: this.context.rules.maxWaiting };
+    return { maxConnections: this.maxConnections, maxWaiting: this.context.rules.maxWaiting };
   }
 }
 
 const RETIRE_POLL_MS = 20;
 
-const RULES: Readonly<Record<AcknowledgementKind, AcknowledgementRule>> = {
+const ACKNOWLEDGEMENT_RULES: Readonly<Record<AcknowledgementKind, AcknowledgementRule>> = {
   [AcknowledgementKind.Majority]: new MajorityRule(),
   [AcknowledgementKind.PrimaryCommit]: new PrimaryCommitRule(),
 };
--- a/packages/proxy/src/home/home-service.ts
+++ b/packages/proxy/src/home/home-service.ts
@@ -1,6 +1,6 @@
 /**
- * The homes of one host: opens and retires them as membership and bundle ask, runs requests of this
- * host's own entry and of other hosts' entries.
+ * The homes of one host: opens and retires them as membership and bundle change, and runs the requests
+ * of this host's own entry and of other hosts' entries.
  */
 import type { GroupId } from '@gladespool/coordination';
 import {
@@ -22,19 +22,22 @@
 import { RequestFlow } from './request-flow.js';
 import type { RequestRunner, RunOutcome, RunRequest } from './run-request.js';
 
-/** Bounds of the homes of a host. */
+/** Limits of the homes of a host. */
 export interface HomeServiceRules {
   readonly homesPerGroup: number;
-  /** Time after which a host that lost a home has surely given its connections back, milliseconds. */
+  /**
+   * Time within which a host that is no longer a home of a group closes its connections, milliseconds.
+   * Until it has passed, the next home of the group must not use the full share of connections.
+   */
   readonly releaseTimeoutMs: number;
 }
 
-interface Held {
+interface HeldHome {
   readonly home: GroupHome;
   readonly flow: RequestFlow;
   readonly since: number;
-  /** Whether the slot was free when this host took it. */
-  readonly settled: boolean;
+  /** Whether no other host held the home's share of connections when this host opened it. */
+  readonly handedOver: boolean;
 }
 
 interface RemoteRequest {
@@ -46,9 +49,9 @@
 
 /** Homes of one host. */
 export class HomeService implements RequestRunner, PeerHandler {
-  private readonly homes = new Map<GroupId, Held>();
-  private readonly remote = new Map<string, RemoteRequest>();
-  private readonly opened = new Map<PeerLink, Set<string>>();
+  private readonly homes = new Map<GroupId, HeldHome>();
+  private readonly remoteRequests = new Map<string, RemoteRequest>();
+  private readonly transactionsByLink = new Map<PeerLink, Set<string>>();
   private readonly timer: NodeJS.Timeout;
   private stopped = false;
 
@@ -56,20 +59,20 @@
     readonly context: HomeContext,
     private readonly rules: HomeServiceRules,
   ) {
-    const review = (): void => {
+    const reconcile = (): void => {
       this.review(performance.now());
     };
-    context.board.onChange(Section.Bundle, review);
-    context.board.onChange(Section.Members, review);
-    this.timer = setInterval(review, RESIZE_INTERVAL_MS);
+    context.board.onChange(Section.Bundle, reconcile);
+    context.board.onChange(Section.Members, reconcile);
+    this.timer = setInterval(reconcile, RESIZE_INTERVAL_MS);
   }
 
-  /** Homes held now. */
+  /** Homes that this host holds now. */
   get held(): readonly GroupHome[] {
     return [...this.homes.values()].map((entry) => entry.home);
   }
 
-  /** The home of a group, if this host holds it. */
+  /** Returns the home of a group if this host holds it. */
   home(group: GroupId): GroupHome | undefined {
     return this.homes.get(group)?.home;
   }
@@ -82,27 +85,29 @@
     return entry.flow.run(req);
   }
 
-  /** Rolls back a transaction whose caller is gone. */
+  /** Rolls back a transaction whose caller has disconnected. */
   abandon(group: GroupId, transaction: number): void {
     this.homes.get(group)?.flow.abandon(transaction);
   }
 
   onFrame(link: PeerLink, frame: Frame): void {
     if (frame.kind === FrameKind.Run) void this.runRemote(link, frame);
-    if (frame.kind === FrameKind.Cancel) this.remote.get(keyOf(link, frame.id))?.abort.abort();
+    if (frame.kind === FrameKind.Cancel)
+      this.remoteRequests.get(keyOf(link, frame.id))?.abort.abort();
     if (frame.kind === FrameKind.Abandon) this.abandon(groupId(frame.group), frame.transaction);
   }
 
   onLost(link: PeerLink): void {
-    for (const request of this.remote.values()) if (request.link === link) request.abort.abort();
-    for (const key of this.opened.get(link) ?? []) {
+    for (const request of this.remoteRequests.values())
+      if (request.link === link) request.abort.abort();
+    for (const key of this.transactionsByLink.get(link) ?? []) {
       const [group, handle] = key.split('/');
       this.abandon(groupId(group ?? ''), Number(handle));
     }
-    this.opened.delete(link);
+    this.transactionsByLink.delete(link);
   }
 
-  /** Lets requests in progress end, then closes every connection. */
+  /** Waits at most `timeoutMs` for requests in progress, then closes every connection. */
   async drain(timeoutMs: number): Promise<void> {
     clearInterval(this.timer);
     this.stopped = true;
@@ -121,34 +126,35 @@
     const { bundle } = board;
     if (this.stopped || bundle === undefined || !board.membersKnown) return;
     const hosts = activeHosts(board.members, board.az);
-    const mine = new Set<GroupId>();
+    const ownGroups = new Set<GroupId>();
     for (const spec of bundle.groups.values()) {
       if (zoneShare(spec, board.az) === 0) continue;
       const homes = homesOf(spec.id, hosts, this.rules.homesPerGroup);
-      if (homes.includes(board.host)) mine.add(spec.id);
+      if (homes.includes(board.host)) ownGroups.add(spec.id);
     }
-    for (const group of mine) this.hold(group, now);
-    for (const [group, entry] of this.homes) if (!mine.has(group)) this.giveUp(group, entry);
+    for (const group of ownGroups) this.ensureHome(group, now);
+    for (const [group, entry] of this.homes)
+      if (!ownGroups.has(group)) this.retireHome(group, entry);
   }
 
-  private hold(group: GroupId, now: number): void {
+  private ensureHome(group: GroupId, now: number): void {
     const entry = this.homes.get(group) ?? this.open(group, now);
     const spec = this.context.board.spec(group);
     if (spec === undefined) return;
-    const part = zoneShare(spec, this.context.board.az);
-    const tenure = { since: entry.since, handedOver: entry.settled };
-    entry.home.setPart(homeShare(part, tenure, this.rules, now));
+    const zoneConnections = zoneShare(spec, this.context.board.az);
+    const tenure = { since: entry.since, handedOver: entry.handedOver };
+    entry.home.setMaxConnections(homeShare(zoneConnections, tenure, this.rules, now));
   }
 
-  private open(group: GroupId, now: number): Held {
+  private open(group: GroupId, now: number): HeldHome {
     const home = new GroupHome(group, this.context);
-    const entry: Held = { home, flow: new RequestFlow(home), since: now, settled: false };
+    const entry: HeldHome = { home, flow: new RequestFlow(home), since: now, handedOver: false };
     this.homes.set(group, entry);
     this.context.log.info('home-opened', { group });
     return entry;
   }
 
-  private giveUp(group: GroupId, entry: Held): void {
+  private retireHome(group: GroupId, entry: HeldHome): void {
     this.homes.delete(group);
     this.context.log.info('home-given-up', { group, busy: entry.home.busy });
     void entry.home.retire(this.rules.releaseTimeoutMs).then(() => {
@@ -159,21 +165,21 @@
   private async runRemote(link: PeerLink, frame: FrameOf<FrameKind.Run>): Promise<void> {
     const key = keyOf(link, frame.id);
     const abort = new AbortController();
-    this.remote.set(key, { link, abort });
+    this.remoteRequests.set(key, { link, abort });
     const outcome = await this.run(requestOf(frame, abort.signal));
-    this.remote.delete(key);
-    this.noteTransaction(link, frame, outcome);
+    this.remoteRequests.delete(key);
+    this.trackTransaction(link, frame, outcome);
     link.send(answerFrame(frame, outcome));
   }
 
-  /** Remembers open transactions by link, to roll them back when the link is lost. */
-  private noteTransaction(
+  /** Tracks open transactions by link, so that they are rolled back when the link is lost. */
+  private trackTransaction(
     link: PeerLink,
     frame: FrameOf<FrameKind.Run>,
     outcome: RunOutcome,
   ): void {
-    const handles = this.opened.get(link) ?? new Set<string>();
-    this.opened.set(link, handles);
+    const handles = this.transactionsByLink.get(link) ?? new Set<string>();
+    this.transactionsByLink.set(link, handles);
     if (frame.transaction !== 0) handles.delete(`${frame.group}/${frame.transaction}`);
     if (outcome.kind !== 'answer' || outcome.transaction === 0) return;
     if (link.ready) handles.add(`${frame.group}/${outcome.transaction}`);
--- a/packages/proxy/src/home/marked-write.ts
+++ b/packages/proxy/src/home/idempotent-write.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a write under its request id, at most once; see the request ledger.
+ * Runs a write that carries a request id at most once, by means of the request ledger.
  */
 import type { UpstreamId, UpstreamReport } from '@gladespool/coordination';
 import { RefusalReason, RetryReason } from '@gladespool/coordination';
@@ -7,26 +7,35 @@
 import type { AnswerSegment, Lease } from '@gladespool/upstreams';
 import { errorStateOf } from '@gladespool/upstreams';
 import { planExchange, planQueries, reportOf } from './exchange-plan.js';
-import { claimSql, isClaimed, lookupSql, recordedAnswer, recordSql } from './request-ledger.js';
+import {
+  claimSql,
+  isAlreadyClaimed,
+  lookupSql,
+  recordedAnswer,
+  recordSql,
+} from './request-ledger.js';
 import type { RunRequest } from './run-request.js';
 import type { Attempt, UpstreamWork } from './upstream-work.js';
 import { answerOf, final, isRolledBack, READ_ONLY_STATE, refusal, retry } from './upstream-work.js';
 
-/** Holds the answer of a commit until it can't be lost. */
+/** Delays the answer of a commit until the commit is durable. */
 export type Confirm = (
   req: RunRequest,
   main: AnswerSegment,
   report: UpstreamReport | undefined,
 ) => Promise<Attempt>;
 
-/** Marked writes of one home. */
-export class MarkedWrite {
+/** Runs the writes of one home that carry a request id. */
+export class IdempotentWrite {
   constructor(
     private readonly work: UpstreamWork,
     private readonly confirm: Confirm,
   ) {}
 
-  /** Runs a request under its id; see the request ledger. */
+  /**
+   * Claims the request id in the ledger and runs the request in the same transaction. If the id is
+   * claimed already, the recorded answer is returned instead.
+   */
   async run(req: RunRequest, lease: Lease, upstream: UpstreamId): Promise<Attempt> {
     const id = req.marks.requestId;
     if (id === undefined) return final(refusal(RefusalReason.BadMarks));
@@ -42,16 +51,16 @@
     }
     const [first, second, third] = answer.value;
     const claim = second;
-    if (isClaimed(claim)) return this.repeated(req, lease, upstream);
+    if (isAlreadyClaimed(claim)) return this.replayAnswer(req, lease, upstream);
     const main = isBegin ? first : third;
     const failed = claim === undefined || errorStateOf(claim) !== undefined || main === undefined;
     if (failed) return this.claimFailed(lease, claim);
-    if (isBegin) return final(this.work.pinned(lease, upstream, true, main, undefined));
+    if (isBegin) return final(this.work.pinOrRelease(lease, upstream, true, main, undefined));
     if (errorStateOf(main) !== undefined) return this.rollBack(req, lease, main);
-    return this.commitMarked(req, lease, upstream, main);
+    return this.commit(req, lease, upstream, main);
   }
 
-  private async commitMarked(
+  private async commit(
     req: RunRequest,
     lease: Lease,
     upstream: UpstreamId,
@@ -76,8 +85,12 @@
     return this.confirm(req, idle, reportOf(upstream, after));
   }
 
-  /** The id ran before: gives its recorded answer, once that is confirmed too. */
-  private async repeated(req: RunRequest, lease: Lease, upstream: UpstreamId): Promise<Attempt> {
+  /** Returns the recorded answer of an id that ran before, once its commit is confirmed. */
+  private async replayAnswer(
+    req: RunRequest,
+    lease: Lease,
+    upstream: UpstreamId,
+  ): Promise<Attempt> {
     const id = req.marks.requestId;
     if (id === undefined) return final(refusal(RefusalReason.BadMarks));
     const queries = planQueries(['ROLLBACK', lookupSql(id)]);
--- a/packages/proxy/src/home/ledger-cleaner.ts
+++ b/packages/proxy/src/home/ledger-cleaner.ts
@@ -1,25 +1,25 @@
 /**
- * Forgets request ids that are older than the keep time. Of all homes of a group one cleans: the
- * first of the zone that its primary is in.
+ * Deletes request ids that are older than the retention time. Only one home of a group does so: the
+ * first home in the availability zone of the primary.
  */
 import type { GroupHome } from './group-home.js';
 import { homesOf, Priority, activeHosts } from '@gladespool/coordination';
 import { planQueries } from './exchange-plan.js';
-import { forgetSql } from './request-ledger.js';
+import { deleteExpiredSql } from './request-ledger.js';
 
-/** Bounds of cleaning. */
+/** Settings of the clean-up. */
 export interface LedgerRules {
-  /** Time for which ids are kept, milliseconds of the hosts' clocks. */
+  /** Retention time of ids, milliseconds by the clocks of the hosts. */
   readonly keepMs: number;
   readonly homesPerGroup: number;
 }
 
-const CLEANS_PER_KEEP_TIME = 20;
-const MOST_OFTEN_MS = 50;
-const LEAST_OFTEN_MS = 600_000;
-const TIMEOUT_MS = 10_000;
+const CLEANUPS_PER_RETENTION_TIME = 20;
+const MIN_INTERVAL_MS = 50;
+const MAX_INTERVAL_MS = 600_000;
+const CLEANUP_TIMEOUT_MS = 10_000;
 
-/** Cleans the ledgers of the homes that a host holds. */
+/** Periodically cleans the request ledgers of the homes that a host holds. */
 export class LedgerCleaner {
   private readonly timer: NodeJS.Timeout;
 
@@ -27,8 +27,8 @@
     private readonly homes: () => readonly GroupHome[],
     private readonly rules: LedgerRules,
   ) {
-    const wanted = rules.keepMs / CLEANS_PER_KEEP_TIME;
-    const intervalMs = Math.min(LEAST_OFTEN_MS, Math.max(MOST_OFTEN_MS, wanted));
+    const targetIntervalMs = rules.keepMs / CLEANUPS_PER_RETENTION_TIME;
+    const intervalMs = Math.min(MAX_INTERVAL_MS, Math.max(MIN_INTERVAL_MS, targetIntervalMs));
     this.timer = setInterval(() => {
       for (const home of this.homes()) void this.clean(home);
     }, intervalMs);
@@ -47,10 +47,10 @@
     const [first] = homesOf(home.group, hosts, this.rules.homesPerGroup);
     if (first !== board.host) return;
     const now = performance.now();
-    const lease = await home.pool(primary).acquire(Priority.Background, now, TIMEOUT_MS);
+    const lease = await home.pool(primary).acquire(Priority.Background, now, CLEANUP_TIMEOUT_MS);
     if (lease.isErr()) return;
-    const plan = planQueries([forgetSql(Date.now() - this.rules.keepMs)]);
-    await lease.value.connection.exchange(plan.payload, plan.segments, TIMEOUT_MS);
+    const plan = planQueries([deleteExpiredSql(Date.now() - this.rules.keepMs)]);
+    await lease.value.connection.exchange(plan.payload, plan.segments, CLEANUP_TIMEOUT_MS);
     lease.value.release();
   }
 }
--- a/packages/proxy/src/home/open-transactions.ts
+++ b/packages/proxy/src/home/open-transactions.ts
@@ -1,5 +1,5 @@
 /**
- * Transactions that callers hold open on a home, each pinned to one upstream connection.
+ * Open transactions of callers on a home, each pinned to one upstream connection.
  */
 import type { UpstreamId } from '@gladespool/coordination';
 import type { Lease } from '@gladespool/upstreams';
@@ -10,11 +10,11 @@
   readonly lease: Lease;
   readonly upstream: UpstreamId;
   readonly onPrimary: boolean;
-  /** Local milliseconds. */
+  /** When the connection was pinned, local milliseconds. */
   readonly since: number;
 }
 
-/** Transactions by handle. */
+/** Open transactions by handle. */
 export class OpenTransactions {
   private readonly open = new Map<number, OpenTransaction>();
   private lastHandle = 0;
@@ -23,7 +23,7 @@
     return this.open.size;
   }
 
-  /** Pins a connection; the result is the transaction's handle. */
+  /** Pins a connection and returns the handle of its transaction. */
   pin(lease: Lease, upstream: UpstreamId, onPrimary: boolean, now: number): number {
     this.lastHandle += 1;
     const handle = this.lastHandle;
@@ -35,7 +35,7 @@
     return this.open.get(handle);
   }
 
-  /** Ends a transaction: its connection goes back, or is closed when it is not clean. */
+  /** Removes a transaction; its connection returns to the pool, or is closed if it is not reusable. */
   unpin(handle: number): void {
     const transaction = this.open.get(handle);
     if (transaction === undefined) return;
@@ -43,7 +43,7 @@
     transaction.lease.release();
   }
 
-  /** Rolls back a transaction whose caller is gone, by closing its connection. */
+  /** Rolls back a transaction whose caller has disconnected, by closing its connection. */
   abandon(handle: number): void {
     this.open.get(handle)?.lease.connection.close();
     this.unpin(handle);
--- a/packages/proxy/src/home/read-flow.ts
+++ b/packages/proxy/src/home/read-flow.ts
@@ -1,6 +1,6 @@
 /**
- * Runs reads: on an upstream that covers the session, proved on the same connection ahead of the
- * read; the answer is held until its position is confirmed.
+ * Runs reads on an upstream that covers the session's floor. A status query on the same connection
+ * proves this before the read runs; the answer is delayed until the position it shows is confirmed.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type {
@@ -29,7 +29,7 @@
 import { planExchange, reportOf } from './exchange-plan.js';
 import type { GroupHome } from './group-home.js';
 import type { RunOutcome, RunRequest } from './run-request.js';
-import type { Attempt, Ground, UpstreamWork } from './upstream-work.js';
+import type { Attempt, GroupSnapshot, UpstreamWork } from './upstream-work.js';
 import {
   answerOf,
   final,
@@ -40,9 +40,9 @@
 } from './upstream-work.js';
 
 const PRIORITY_OF_READS = Priority.Interactive;
-/** A replica's report younger than this is not asked for again, milliseconds. */
+/** A replica whose last report is younger than this is not queried again, milliseconds. */
 const FRESH_MS = 10;
-/** Longest wait for the reports of replicas before a read falls to the primary, milliseconds. */
+/** Longest wait for reports of replicas before a read goes to the primary, milliseconds. */
 const REFRESH_LIMIT_MS = 10;
 
 /** Options of the read flow. */
@@ -50,11 +50,11 @@
   readonly home: GroupHome;
   readonly work: UpstreamWork;
   readonly retries: RetryLimiter;
-  /** Runs a request that turned out to write. */
+  /** Runs a request as a write, after an upstream rejected it as a write in a read-only session. */
   readonly writeInstead: (req: RunRequest) => Promise<RunOutcome>;
 }
 
-/** Reads of one home. */
+/** Runs the reads of one home. */
 export class ReadFlow {
   private readonly home: GroupHome;
   private readonly work: UpstreamWork;
@@ -66,15 +66,15 @@
     this.retries = options.retries;
   }
 
-  /** Runs one read to its outcome. */
+  /** Runs one read; retries on other upstreams until the deadline, as the retry budget permits. */
   async read(req: RunRequest): Promise<RunOutcome> {
     const tried = new Set<UpstreamId>();
     let refreshed = false;
     let last = refusal(RefusalReason.NoCoveringUpstream);
     while (performance.now() < req.deadlineAt && !req.cancel.aborted) {
-      const ground = this.work.ground();
-      if (ground === undefined) return refusal(RefusalReason.NoBundle);
-      const choice = this.chooseRead(req, ground, tried);
+      const snapshot = this.work.snapshot();
+      if (snapshot === undefined) return refusal(RefusalReason.NoBundle);
+      const choice = this.chooseRead(req, snapshot, tried);
       if (choice.kind === 'refuse') return tried.size > 0 ? last : refusal(choice.reason);
       if (choice.kind === 'wait') {
         await this.waitForReplica(choice.forMs);
@@ -82,9 +82,9 @@
       }
       if (choice.isPrimary && !req.barrier && !refreshed) {
         refreshed = true;
-        if (await this.refreshReplicas(ground)) continue;
+        if (await this.refreshReplicas(snapshot)) continue;
       }
-      const attempt = await this.readOn(req, ground, choice.upstream);
+      const attempt = await this.readOn(req, snapshot, choice.upstream);
       if (attempt.kind === 'final') return attempt.outcome;
       if (!this.retries.tryAcquire()) return attempt.last;
       this.home.context.metrics.retries.inc({ reason: attempt.reason });
@@ -96,38 +96,42 @@
     return req.cancel.aborted ? refusal(RefusalReason.Canceled) : last;
   }
 
-  private chooseRead(req: RunRequest, ground: Ground, tried: ReadonlySet<UpstreamId>): ReadChoice {
+  private chooseRead(
+    req: RunRequest,
+    snapshot: GroupSnapshot,
+    tried: ReadonlySet<UpstreamId>,
+  ): ReadChoice {
     const { routing, random, rules, board } = this.home.context;
     const now = performance.now();
     const maxWaitMs = Math.min(rules.replicaWaitMs, req.deadlineAt - now);
     const requirements = {
       floor: req.floor,
       barrier: req.barrier,
-      maxAgeMs: maxAgeOf(req, ground.spec),
+      maxAgeMs: maxAgeOf(req, snapshot.spec),
       maxWaitMs,
     };
-    const views = this.home.views(ground.spec, ground.record, now);
-    return routing.choose({ ...ground, az: board.az, views, requirements, tried }, random);
+    const views = this.home.views(snapshot.spec, snapshot.record, now);
+    return routing.choose({ ...snapshot, az: board.az, views, requirements, tried }, random);
   }
 
   /**
-   * Asks replicas that have not been asked lately, before a read falls to the primary: what is
-   * known of them may be as old as a status interval.
+   * Queries replicas that were not queried recently, before a read goes to the primary: their last
+   * reports may be as old as a status interval.
    *
-   * @returns whether anything was asked.
+   * @returns whether any replica had an outdated report.
    */
-  private async refreshReplicas(ground: Ground): Promise<boolean> {
+  private async refreshReplicas(snapshot: GroupSnapshot): Promise<boolean> {
     const now = performance.now();
-    const views = this.home.views(ground.spec, ground.record, now);
+    const views = this.home.views(snapshot.spec, snapshot.record, now);
     const stale = views.filter(
       ({ spec, health }) =>
-        spec.id !== ground.record.primary &&
+        spec.id !== snapshot.record.primary &&
         health.failures < FAILURE_THRESHOLD &&
         now - (health.last?.sentAt ?? -Infinity) > FRESH_MS,
     );
     const controls = stale.map(({ spec }) => this.home.control(spec.id));
-    const asked = controls.filter((control) => control !== undefined).map((it) => it.status());
-    await Promise.race([Promise.all(asked), pause(REFRESH_LIMIT_MS)]);
+    const queries = controls.filter((control) => control !== undefined).map((it) => it.status());
+    await Promise.race([Promise.all(queries), pause(REFRESH_LIMIT_MS)]);
     return stale.length > 0;
   }
 
@@ -136,8 +140,12 @@
     await this.home.watcher.round();
   }
 
-  private async readOn(req: RunRequest, ground: Ground, upstream: UpstreamId): Promise<Attempt> {
-    const lease = await this.work.lease(req, ground.spec, upstream, PRIORITY_OF_READS);
+  private async readOn(
+    req: RunRequest,
+    snapshot: GroupSnapshot,
+    upstream: UpstreamId,
+  ): Promise<Attempt> {
+    const lease = await this.work.lease(req, snapshot.spec, upstream, PRIORITY_OF_READS);
     if (lease.kind === 'refusal') return retry(RetryReason.ConnectFailed, lease);
     const isBegin = req.intent === RunIntent.BeginReadOnly;
     const plan = planExchange(req.messages, { before: true, after: !isBegin });
@@ -153,21 +161,28 @@
       lease.value.release();
       return retry(RetryReason.ReadLost, refusal(RefusalReason.UpstreamLostReading));
     }
-    const fault = this.readFault(req, ground, held);
+    const fault = this.readFault(req, snapshot, held);
     if (fault !== undefined) {
       if (!isIdle(main)) lease.value.connection.close();
       lease.value.release();
       return retry(RetryReason.StaleReplica, refusal(fault));
     }
-    const isPrimary = upstream === ground.record.primary;
+    const isPrimary = upstream === snapshot.record.primary;
     if (isBegin)
-      return final(this.work.pinned(lease.value, upstream, isPrimary, main, held.applied));
-    return this.finishRead(req, ground, lease.value, main, reportOf(upstream, after) ?? held);
+      return final(this.work.pinOrRelease(lease.value, upstream, isPrimary, main, held.applied));
+    return this.finishRead(req, snapshot, lease.value, main, reportOf(upstream, after) ?? held);
   }
 
-  /** Why an upstream must not serve the read, judged on what it held before the read ran. */
-  private readFault(req: RunRequest, ground: Ground, held: UpstreamReport): Reason | undefined {
-    const record = this.home.record ?? ground.record;
+  /**
+   * Returns why an upstream must not serve the read, by its position and role before the read ran;
+   * undefined if it may.
+   */
+  private readFault(
+    req: RunRequest,
+    snapshot: GroupSnapshot,
+    held: UpstreamReport,
+  ): Reason | undefined {
+    const record = this.home.record ?? snapshot.record;
     if (coverage(held.applied, req.floor, record.lineage) !== Coverage.Covered) {
       return RefusalReason.NoCoveringUpstream;
     }
@@ -179,7 +194,7 @@
 
   private async finishRead(
     req: RunRequest,
-    ground: Ground,
+    snapshot: GroupSnapshot,
     lease: Lease,
     main: AnswerSegment,
     after: UpstreamReport,
@@ -191,18 +206,18 @@
       return retry(RetryReason.ReadOnlyUpstream, refusal(RefusalReason.NotPrimary));
     }
     const covered = await this.home.acknowledger.confirm(after.applied, req.deadlineAt);
-    const fresh = !req.barrier || (await this.authorityConfirmed(req, ground));
+    const fresh = !req.barrier || (await this.authorityConfirmed(req, snapshot));
     if (covered !== AckDecision.Confirmed || !fresh) {
       return final(refusal(RefusalReason.ReadNotCovered));
     }
     const seen =
-      ground.spec.sessionGuarantee === SessionGuarantee.Monotonic ? after.applied : undefined;
+      snapshot.spec.sessionGuarantee === SessionGuarantee.Monotonic ? after.applied : undefined;
     return final(answerOf(main, 0, seen, replica));
   }
 
-  /** Proves that the primary read from was not superseded when the request arrived. */
-  private async authorityConfirmed(req: RunRequest, ground: Ground): Promise<boolean> {
-    const { term } = ground.record;
+  /** Waits for proof that the primary read from was not superseded when the request arrived. */
+  private async authorityConfirmed(req: RunRequest, snapshot: GroupSnapshot): Promise<boolean> {
+    const { term } = snapshot.record;
     const { arrivedAt, deadlineAt } = req;
     const verdict = await this.home.acknowledger.confirmAuthority(term, arrivedAt, deadlineAt);
     return verdict === AckDecision.Confirmed;
--- a/packages/proxy/src/home/request-flow.ts
+++ b/packages/proxy/src/home/request-flow.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the requests of one home, each by the flow of its kind.
+ * Dispatches the requests of one home to the flow for reads, writes or open transactions.
  */
 import { DEFAULT_RETRY_BUDGET, RetryLimiter } from '@gladespool/coordination';
 import { RunIntent } from '@gladespool/protocol';
@@ -10,7 +10,7 @@
 import { UpstreamWork } from './upstream-work.js';
 import { WriteFlow } from './write-flow.js';
 
-/** Requests of one home. */
+/** Runs the requests of one home. */
 export class RequestFlow {
   private readonly retries = new RetryLimiter(DEFAULT_RETRY_BUDGET);
   private readonly reads: ReadFlow;
@@ -40,7 +40,7 @@
     }
   }
 
-  /** Rolls back a transaction whose caller is gone. */
+  /** Rolls back a transaction whose caller has disconnected. */
   abandon(transaction: number): void {
     this.home.transactions.abandon(transaction);
   }
--- a/packages/proxy/src/home/request-ledger.ts
+++ b/packages/proxy/src/home/request-ledger.ts
@@ -1,7 +1,8 @@
 /**
- * Runs a request at most once under its id: the id and the outcome are written to a table of the
- * upstream in the same transaction as the request's own changes, so that they stand or fall
- * together, survive the loss of any host, and move with a promotion.
+ * SQL of the request ledger, by which a request with an id runs at most once: the id and the outcome
+ * are written to a table of the upstream in the same transaction as the request's own changes. They
+ * are thus committed or rolled back together, survive the loss of any host, and are present on the
+ * new primary after a promotion.
  */
 import type { RequestId } from '@gladespool/coordination';
 import { BackendType, encodeError } from '@gladespool/protocol';
@@ -12,41 +13,42 @@
 export const LEDGER_TABLE = 'gladespool_requests';
 
 const UNIQUE_VIOLATION = '23505';
-/** Largest answer recorded, bytes; of a larger one only the command tag is kept. */
+/** Largest answer recorded, bytes; of a larger answer only the command tag is recorded. */
 const MAX_RECORDED_BYTES = 4096;
 const ANSWER_PREFIX = 'answer:';
 const TAG_PREFIX = 'tag:';
-const BEGIN_MARK = 'begin:';
+const CLAIMED_OUTCOME = 'begin:';
 
-/** Statement that claims an id; `at` is the home's clock in milliseconds since the epoch. */
+/** Returns the statement that claims an id; `at` is the home's clock in milliseconds since the epoch. */
 export function claimSql(id: RequestId, at: number): string {
-  const values = `${quote(id)}, '${BEGIN_MARK}', ${at}`;
+  const values = `${quote(id)}, '${CLAIMED_OUTCOME}', ${at}`;
   return `INSERT INTO ${LEDGER_TABLE} (id, outcome, at) VALUES (${values})`;
 }
 
-/** Statement that records the outcome of a claimed id. */
+/** Returns the statement that records the outcome of a claimed id. */
 export function recordSql(id: RequestId, segment: AnswerSegment): string {
   const outcome = encodeOutcome(segment);
   return `UPDATE ${LEDGER_TABLE} SET outcome = '${outcome}' WHERE id = ${quote(id)}`;
 }
 
-/** Statement that reads the recorded outcome. */
+/** Returns the statement that reads the recorded outcome of an id. */
 export function lookupSql(id: RequestId): string {
   return `SELECT outcome FROM ${LEDGER_TABLE} WHERE id = ${quote(id)}`;
 }
 
-/** Statement that forgets ids claimed before `before`, milliseconds since the epoch. */
-export function forgetSql(before: number): string {
+/** Returns the statement that deletes ids claimed before `before`, milliseconds since the epoch. */
+export function deleteExpiredSql(before: number): string {
   return `DELETE FROM ${LEDGER_TABLE} WHERE at < ${before}`;
 }
 
-/** Whether a claim failed because the id was claimed before. */
-export function isClaimed(segment: AnswerSegment | undefined): boolean {
+/** Whether a claim failed because the id had been claimed already. */
+export function isAlreadyClaimed(segment: AnswerSegment | undefined): boolean {
   return segment !== undefined && errorStateOf(segment) === UNIQUE_VIOLATION;
 }
 
 /**
- * Answer to a repeated request: the recorded one, or an error that tells that it ran.
+ * Builds the answer to a repeated request: the recorded answer, or, if only its command tag was
+ * recorded, an error that says that the request has run.
  *
  * @returns undefined when the id is not in the ledger.
  */
--- a/packages/proxy/src/home/run-request.ts
+++ b/packages/proxy/src/home/run-request.ts
@@ -1,31 +1,31 @@
 /**
- * A request as an entry hands it to a home, and the home's answer.
+ * A request that an entry sends to a home, and its outcome.
  */
 import type { GroupId, Position, Refusal, RequestMarks } from '@gladespool/coordination';
 import type { RunIntent, TransactionStatus } from '@gladespool/protocol';
 
-/** A request. */
+/** A request of a caller to one group. */
 export interface RunRequest {
   readonly group: GroupId;
   readonly intent: RunIntent;
-  /** Open transaction that it continues; 0 for none. */
+  /** Handle of the open transaction that the request continues; 0 for none. */
   readonly transaction: number;
-  /** Protocol messages, ending in exactly one Query or Sync. */
+  /** Protocol messages; the last one, and no other, is a Query or Sync. */
   readonly messages: Buffer;
-  /** What the session has seen of the group. */
+  /** Latest position of the group that the session has seen; a read must cover it. */
   readonly floor: Position;
-  /** Whether only the primary can prove freshness. */
+  /** Whether the session's position is unknown, so that only the primary may serve reads. */
   readonly barrier: boolean;
   readonly marks: RequestMarks;
   /** When the request reached the home, local milliseconds. */
   readonly arrivedAt: number;
-  /** When the caller stops waiting, local milliseconds. */
+  /** Deadline of the request, local milliseconds. */
   readonly deadlineAt: number;
-  /** Aborts when the caller cancels. */
+  /** Aborted when the caller cancels the request. */
   readonly cancel: AbortSignal;
 }
 
-/** An answer to pass on to the caller. */
+/** An answer for the caller. */
 export interface RunAnswer {
   readonly kind: 'answer';
   /** Messages without the closing ReadyForQuery. */
@@ -33,13 +33,13 @@
   readonly status: TransactionStatus;
   /** Handle of the transaction left open; 0 for none. */
   readonly transaction: number;
-  /** What the session has seen now; undefined when it saw nothing new. */
+  /** Position that the session has now seen; undefined if the request does not advance it. */
   readonly position: Position | undefined;
-  /** Whether a replica served it. */
+  /** Whether a replica served the request. */
   readonly replica: boolean;
 }
 
-/** A refusal, with the transaction state that it leaves. */
+/** A refusal of a request. */
 export interface RunRefusal {
   readonly kind: 'refusal';
   readonly refusal: Refusal;
@@ -48,7 +48,7 @@
 /** Outcome of a request. */
 export type RunOutcome = RunAnswer | RunRefusal;
 
-/** Runs requests; a home in this process or one behind a link. */
+/** Runs requests: implemented by homes in this process and by clients of homes on other hosts. */
 export interface RequestRunner {
   run(req: RunRequest): Promise<RunOutcome>;
 }
--- a/packages/proxy/src/home/status-watcher.ts
+++ b/packages/proxy/src/home/status-watcher.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the blackboard's health of a group's upstreams fresh by status queries, and writes down
- * what they prove: marks of the primary and apply rates.
+ * Polls the status of a group's upstreams and writes their health to the blackboard, together with
+ * what the reports prove: watermarks and authority of the primary, and apply rates of the replicas.
  */
 import type {
   Blackboard,
@@ -30,8 +30,8 @@
   readonly onFailure: (upstream: UpstreamId, error: GladespoolError) => void;
 }
 
-/** Spacing of the primary's marks, milliseconds; 256 of them reach back half a minute. */
-const MARK_SPACING_MS = 100;
+/** Spacing of the primary's watermarks, milliseconds; 256 of them reach back about half a minute. */
+const WATERMARK_SPACING_MS = 100;
 /** Weight of the newest sample in the moving average of apply rates. */
 const RATE_WEIGHT = 0.3;
 
@@ -46,19 +46,19 @@
     void this.round();
   }
 
-  /** Asks every upstream once; resolves as soon as a majority answered or all have. */
+  /** Queries every upstream once; resolves as soon as a majority of the queries has settled. */
   async round(): Promise<void> {
     await firstMajority(this.options.controls().map((control) => control.status()));
   }
 
-  /** Takes the outcome of a control statement. */
-  note(upstream: UpstreamId, result: ControlResult): void {
-    if (result.isOk()) this.take(result.value);
-    else this.fail(upstream, result.error);
+  /** Records the result of a control statement. */
+  recordResult(upstream: UpstreamId, result: ControlResult): void {
+    if (result.isOk()) this.recordReport(result.value);
+    else this.recordFailure(upstream, result.error);
   }
 
-  /** Writes a report to the blackboard. */
-  take(timed: TimedReport): void {
+  /** Writes a report to the blackboard, with the observations that follow from it. */
+  recordReport(timed: TimedReport): void {
     const { group, board } = this.options;
     const { report } = timed;
     const before = board.healthOf(group, report.upstream);
@@ -71,14 +71,17 @@
     clearInterval(this.timer);
   }
 
-  private fail(upstream: UpstreamId, error: GladespoolError): void {
+  private recordFailure(upstream: UpstreamId, error: GladespoolError): void {
     const { group, board } = this.options;
     const health = afterFailure(board.healthOf(group, upstream), performance.now());
     board.putHealth(group, upstream, health);
     this.options.onFailure(upstream, error);
   }
 
-  /** Authority of the record's primary that the reports prove, the newest included. */
+  /**
+   * Returns the latest time, local milliseconds, at which the reports, `timed` included, prove that
+   * the record's primary was not superseded; -Infinity without proof or during fencing.
+   */
   private authorityWith(timed: TimedReport, record: GroupRecord | undefined): number {
     const { group, board } = this.options;
     const spec = board.spec(group);
@@ -98,9 +101,9 @@
     const record = board.record(group)?.record;
     const { report } = timed;
     const isPrimary = record?.primary === report.upstream && servesTerm(report, record.term);
-    const mark = { sentAt: timed.sentAt, position: report.received };
+    const watermark = { sentAt: timed.sentAt, position: report.received };
     const marks = isPrimary
-      ? addWatermark(observation.marks, mark, MARK_SPACING_MS)
+      ? addWatermark(observation.marks, watermark, WATERMARK_SPACING_MS)
       : observation.marks;
     const applyRates = new Map(observation.applyRates);
     const rate = rateBetween(before, timed);
@@ -125,7 +128,7 @@
   return elapsed > 0 && applied > 0 ? applied / elapsed : undefined;
 }
 
-/** Resolves when more than half of the promises have, or all. */
+/** Resolves once more than half of the promises have resolved. */
 function firstMajority(promises: readonly Promise<unknown>[]): Promise<void> {
   const needed = Math.floor(promises.length / 2) + 1;
   let settled = 0;
--- a/packages/proxy/src/home/transaction-flow.ts
+++ b/packages/proxy/src/home/transaction-flow.ts
@@ -1,5 +1,5 @@
 /**
- * Continues and ends open transactions on their pinned connection.
+ * Runs the requests of open transactions on their pinned connections, up to commit or rollback.
  */
 import type { UpstreamReport } from '@gladespool/coordination';
 import { AckDecision, RefusalReason } from '@gladespool/coordination';
@@ -13,7 +13,7 @@
 import type { UpstreamWork } from './upstream-work.js';
 import { answerOf, isRolledBack, refusal } from './upstream-work.js';
 
-/** Open transactions of one home. */
+/** Runs requests in the open transactions of one home. */
 export class TransactionFlow {
   constructor(
     private readonly home: GroupHome,
@@ -44,7 +44,7 @@
     main: AnswerSegment,
     after: UpstreamReport | undefined,
   ): Promise<RunOutcome> {
-    const report = after ?? (await this.work.positionOn(req, open.lease, open.upstream));
+    const report = after ?? (await this.work.queryStatus(req, open.lease, open.upstream));
     this.home.transactions.unpin(open.handle);
     if (isRolledBack(main) || errorStateOf(main) !== undefined) {
       return answerOf(main, 0, undefined, !open.onPrimary);
--- a/packages/proxy/src/home/upstream-work.ts
+++ b/packages/proxy/src/home/upstream-work.ts
@@ -1,5 +1,5 @@
 /**
- * What the flows of a home share: outcomes of tries, and the work on one upstream connection.
+ * Shared by the request flows of a home: results of attempts, and operations on upstream connections.
  */
 import type {
   GroupRecord,
@@ -19,33 +19,33 @@
 import type { GroupHome } from './group-home.js';
 import type { RunAnswer, RunOutcome, RunRefusal, RunRequest } from './run-request.js';
 
-/** SQLSTATE of an upstream that may not write. */
+/** SQLSTATE with which an upstream that is read-only rejects a write (read_only_sql_transaction). */
 export const READ_ONLY_STATE = '25006';
-/** Shortest time for which anything is waited for, milliseconds. */
+/** Lower bound of waits and time limits, milliseconds. */
 export const SHORTEST_WAIT_MS = 1;
 
-/** Outcome of one try: final, or to be tried again for a reason. */
+/** Result of one attempt: a final outcome, or a reason to retry. */
 export type Attempt =
   | { readonly kind: 'final'; readonly outcome: RunOutcome }
   | { readonly kind: 'retry'; readonly reason: RetryReason; readonly last: RunRefusal };
 
-/** What a request is decided on: the group as the bundle has it, and its record. */
-export interface Ground {
+/** State of a group by which a request is routed: its spec from the bundle, and its record. */
+export interface GroupSnapshot {
   readonly spec: GroupSpec;
   readonly record: GroupRecord;
 }
 
-/** Work on the connections of one home. */
+/** Operations on the upstream connections of one home. */
 export class UpstreamWork {
   constructor(private readonly home: GroupHome) {}
 
-  /** Spec and record of the group; undefined while one is not known. */
-  ground(): Ground | undefined {
+  /** Returns spec and record of the group; undefined while either is unknown. */
+  snapshot(): GroupSnapshot | undefined {
     const { spec, record } = this.home;
     return spec === undefined || record === undefined ? undefined : { spec, record };
   }
 
-  /** Borrows a connection to an upstream within the request's time. */
+  /** Leases a connection to an upstream, at most until the deadline of the request. */
   async lease(
     req: RunRequest,
     spec: GroupSpec,
@@ -63,7 +63,7 @@
     return refusal(RefusalReason.Canceled);
   }
 
-  /** Exchanges messages; a cancel by the caller is passed on. */
+  /** Sends messages and awaits the answer; a cancellation by the caller is forwarded to the upstream. */
   async exchange(
     req: RunRequest,
     lease: Lease,
@@ -80,8 +80,8 @@
     return answer;
   }
 
-  /** Asks for the position on the connection itself. */
-  async positionOn(
+  /** Queries the status of the upstream on the leased connection itself. */
+  async queryStatus(
     req: RunRequest,
     lease: Lease,
     upstream: UpstreamId,
@@ -91,8 +91,8 @@
     return answer.isOk() ? reportOf(upstream, answer.value[0]) : undefined;
   }
 
-  /** Keeps the connection for a transaction that was left open. */
-  pinned(
+  /** Pins the connection if the answer leaves a transaction open; releases it otherwise. */
+  pinOrRelease(
     lease: Lease,
     upstream: UpstreamId,
     onPrimary: boolean,
@@ -108,7 +108,7 @@
   }
 }
 
-/** Whether a segment tells that the transaction was rolled back. */
+/** Whether a segment reports that the transaction was rolled back. */
 export function isRolledBack(segment: AnswerSegment): boolean {
   return segment.messages.some(
     (message) =>
@@ -117,7 +117,7 @@
   );
 }
 
-/** An answer made of one segment. */
+/** Builds an answer from one segment. */
 export function answerOf(
   main: AnswerSegment,
   transaction: number,
@@ -128,17 +128,17 @@
   return { kind: 'answer', bytes, status: main.status, transaction, position, replica };
 }
 
-/** A refusal as an outcome. */
+/** Builds the outcome of a refused request. */
 export function refusal(reason: Reason, detail = ''): RunRefusal {
   return { kind: 'refusal', refusal: refuse(reason, detail) };
 }
 
-/** An outcome that no further try can change. */
+/** Builds an attempt that must not be retried. */
 export function final(outcome: RunOutcome): Attempt {
   return { kind: 'final', outcome };
 }
 
-/** A try that another may follow; `last` is told when none does. */
+/** Builds an attempt that may be retried; `last` is the outcome if it is not. */
 export function retry(reason: RetryReason, last: RunRefusal): Attempt {
   return { kind: 'retry', reason, last };
 }
--- a/packages/proxy/src/home/write-flow.ts
+++ b/packages/proxy/src/home/write-flow.ts
@@ -1,5 +1,6 @@
 /**
- * Runs writes and the begin of transactions on the primary; a commit is told only once confirmed.
+ * Runs writes and starts read-write transactions on the primary; a commit is reported to the caller
+ * only once it is confirmed.
  */
 import type { UpstreamId, UpstreamReport } from '@gladespool/coordination';
 import {
@@ -17,55 +18,57 @@
 import { errorStateOf, ExchangeFailure, isIdle } from '@gladespool/upstreams';
 import { planExchange, reportOf } from './exchange-plan.js';
 import type { GroupHome } from './group-home.js';
-import { MarkedWrite } from './marked-write.js';
+import { IdempotentWrite } from './idempotent-write.js';
 import type { RunOutcome, RunRequest } from './run-request.js';
-import type { Attempt, Ground, UpstreamWork } from './upstream-work.js';
+import type { Attempt, GroupSnapshot, UpstreamWork } from './upstream-work.js';
 import { answerOf, final, READ_ONLY_STATE, refusal, retry } from './upstream-work.js';
 
 const PRIORITY_OF_WRITES = Priority.Outcome;
-/** Longest wait before a held write is looked at again, milliseconds. */
+/** Longest wait before a held write is evaluated again, milliseconds. */
 const HOLD_REVIEW_MS = 50;
-/** Longest pause before a refused write is tried again, milliseconds. */
+/** Longest pause before a failed write is retried, milliseconds. */
 const RETRY_PAUSE_MS = 50;
 
-/** What to do with a write. */
-enum WriteStance {
+/** Whether a write runs now, is held until the group changes, or is refused. */
+enum WriteDecision {
   Run,
   Hold,
   Refuse,
 }
 
-interface WriteDone {
+interface WriteResult {
   readonly upstream: UpstreamId;
   readonly main: AnswerSegment | undefined;
   readonly before: UpstreamReport | undefined;
   readonly after: UpstreamReport | undefined;
 }
 
-/** Writes of one home. */
+/** Runs the writes of one home. */
 export class WriteFlow {
-  private readonly marked: MarkedWrite;
+  private readonly idempotentWrite: IdempotentWrite;
 
   constructor(
     private readonly home: GroupHome,
     private readonly work: UpstreamWork,
   ) {
-    this.marked = new MarkedWrite(work, (req, main, report) => this.confirmed(req, main, report));
+    this.idempotentWrite = new IdempotentWrite(work, (req, main, report) =>
+      this.confirmCommit(req, main, report),
+    );
   }
 
-  /** Runs one write to its outcome. */
+  /** Runs one write; holds and retries it until the deadline. */
   async write(req: RunRequest): Promise<RunOutcome> {
     let last = refusal(RefusalReason.NoPrimary);
     while (performance.now() < req.deadlineAt && !req.cancel.aborted) {
-      const ground = this.work.ground();
-      if (ground === undefined) return refusal(RefusalReason.NoBundle);
-      const stance = this.stance(ground);
-      if (stance === WriteStance.Refuse) return refusal(RefusalReason.NoMajority);
-      if (stance === WriteStance.Hold) {
+      const snapshot = this.work.snapshot();
+      if (snapshot === undefined) return refusal(RefusalReason.NoBundle);
+      const decision = this.decide(snapshot);
+      if (decision === WriteDecision.Refuse) return refusal(RefusalReason.NoMajority);
+      if (decision === WriteDecision.Hold) {
         await this.recordChange(Math.min(req.deadlineAt, performance.now() + HOLD_REVIEW_MS));
         continue;
       }
-      const attempt = await this.writeOnce(req, ground);
+      const attempt = await this.writeOnce(req, snapshot);
       if (attempt.kind === 'final') return attempt.outcome;
       this.home.context.metrics.retries.inc({ reason: attempt.reason });
       last = attempt.last;
@@ -75,27 +78,29 @@
   }
 
   /**
-   * What to do with a write now. While no write could be confirmed it is held if a promotion can
-   * end that, which takes a majority of upstreams in reach; else it is refused at once.
+   * Decides what to do with a write now. While no write can be confirmed, the write is held if a
+   * promotion could end that state, which takes a majority of reachable upstreams; otherwise it is
+   * refused at once.
    */
-  private stance(ground: Ground): WriteStance {
-    if (ground.record.phase !== GroupPhase.Serving) return WriteStance.Hold;
+  private decide(snapshot: GroupSnapshot): WriteDecision {
+    if (snapshot.record.phase !== GroupPhase.Serving) return WriteDecision.Hold;
     const now = performance.now();
-    const silentMs = this.home.unconfirmableMs(ground.spec, ground.record, now);
-    if (silentMs <= this.home.context.rules.suspectAfterMs) return WriteStance.Run;
-    const views = this.home.views(ground.spec, ground.record, now);
+    const unconfirmableMs = this.home.unconfirmableMs(snapshot.spec, snapshot.record, now);
+    if (unconfirmableMs <= this.home.context.rules.suspectAfterMs) return WriteDecision.Run;
+    const views = this.home.views(snapshot.spec, snapshot.record, now);
     const reached = views.filter((view) => view.health.failures < FAILURE_THRESHOLD).length;
-    return reached >= majorityOf(views.length) ? WriteStance.Hold : WriteStance.Refuse;
+    return reached >= majorityOf(views.length) ? WriteDecision.Hold : WriteDecision.Refuse;
   }
 
-  private async writeOnce(req: RunRequest, ground: Ground): Promise<Attempt> {
-    const upstream = ground.record.primary;
-    const lease = await this.work.lease(req, ground.spec, upstream, PRIORITY_OF_WRITES);
+  private async writeOnce(req: RunRequest, snapshot: GroupSnapshot): Promise<Attempt> {
+    const upstream = snapshot.record.primary;
+    const lease = await this.work.lease(req, snapshot.spec, upstream, PRIORITY_OF_WRITES);
     if (lease.kind === 'refusal') {
       const unreachable = lease.refusal.reason === RefusalReason.UpstreamUnreachable;
       return unreachable ? retry(RetryReason.ConnectFailed, lease) : final(lease);
     }
-    if (req.marks.requestId !== undefined) return this.marked.run(req, lease.value, upstream);
+    if (req.marks.requestId !== undefined)
+      return this.idempotentWrite.run(req, lease.value, upstream);
     const isBegin = req.intent === RunIntent.Begin;
     const plan = planExchange(req.messages, { before: true, after: !isBegin });
     const answer = await this.work.exchange(req, lease.value, plan.payload, plan.segments);
@@ -115,8 +120,8 @@
     });
   }
 
-  private async finishWrite(req: RunRequest, lease: Lease, done: WriteDone): Promise<Attempt> {
-    const { main, upstream, before, after } = done;
+  private async finishWrite(req: RunRequest, lease: Lease, result: WriteResult): Promise<Attempt> {
+    const { main, upstream, before, after } = result;
     if (main === undefined) {
       lease.release();
       return final(refusal(RefusalReason.UpstreamLost));
@@ -125,17 +130,17 @@
       lease.release();
       return retry(RetryReason.NotPrimary, refusal(RefusalReason.NotPrimary));
     }
-    if (!isIdle(main)) return final(this.work.pinned(lease, upstream, true, main, undefined));
-    const position = after ?? (await this.work.positionOn(req, lease, upstream));
+    if (!isIdle(main)) return final(this.work.pinOrRelease(lease, upstream, true, main, undefined));
+    const position = after ?? (await this.work.queryStatus(req, lease, upstream));
     lease.release();
     const untouched = before?.received.offset === position?.received.offset;
     if (errorStateOf(main) !== undefined && untouched)
       return final(answerOf(main, 0, undefined, false));
-    return this.confirmed(req, main, position);
+    return this.confirmCommit(req, main, position);
   }
 
-  /** Holds the answer of a commit until it can't be lost. */
-  private async confirmed(
+  /** Delays the answer of a commit until the commit is durable. */
+  private async confirmCommit(
     req: RunRequest,
     main: AnswerSegment,
     report: UpstreamReport | undefined,
@@ -147,7 +152,7 @@
     return final(refusal(superseded ? RefusalReason.Superseded : RefusalReason.OutcomeUnknown));
   }
 
-  /** Resolves at the next change of a record or at `until`. */
+  /** Resolves at the next change of a record, or at `until`, local milliseconds. */
   private recordChange(until: number): Promise<void> {
     return new Promise((resolve) => {
       const done = (): void => {
