--- a/packages/proxy/src/entry/caller-server.ts
+++ b/packages/proxy/src/entry/caller-server.ts
@@ -1,5 +1,6 @@
 /**
- * Accepts callers: login, session token at start-up, connection limit, cancel requests.
+ * Server for callers: accepts connections up to a limit, runs the login, checks the session token given
+ * at start-up, and dispatches cancel requests.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { AddressInfo, Server, Socket } from 'node:net';
@@ -18,13 +19,13 @@
 import { refusalFields } from './refusal-message.js';
 import { startOption } from './start-option.js';
 
-/** TLS files of the caller side. */
+/** TLS key and certificate for connections of callers. */
 export interface CallerTls {
   readonly key: Buffer;
   readonly cert: Buffer;
 }
 
-/** Options of the server. */
+/** Options of the caller server. */
 export interface CallerServerOptions {
   readonly board: Blackboard;
   readonly session: SessionContext;
@@ -36,14 +37,14 @@
   readonly log: Logger;
 }
 
-const FAULTS: Readonly<Record<LoginFault, CallerFault>> = {
+const CALLER_FAULTS: Readonly<Record<LoginFault, CallerFault>> = {
   [LoginFault.Timeout]: CallerFault.LoginTimeout,
   [LoginFault.TooLarge]: CallerFault.LoginTooLarge,
   [LoginFault.Malformed]: CallerFault.Malformed,
   [LoginFault.WrongPassword]: CallerFault.WrongPassword,
 };
 
-const REPORTED: ReadonlyMap<string, string> = new Map([
+const REPORTED_PARAMETERS: ReadonlyMap<string, string> = new Map([
   ['server_version', '16.0 (gladespool)'],
   ['server_encoding', 'UTF8'],
   ['client_encoding', 'UTF8'],
@@ -53,7 +54,7 @@
   ['standard_conforming_strings', 'on'],
 ]);
 
-/** Listening side towards callers. */
+/** Server that accepts connections of callers. */
 export class CallerServer {
   private server: Server | undefined;
   private readonly sessions = new Map<number, CallerSession>();
@@ -67,12 +68,12 @@
     return (this.server?.address() as AddressInfo | null)?.port ?? 0;
   }
 
-  /** Callers logged in. */
+  /** Number of callers that are logged in. */
   get callers(): number {
     return this.sessions.size;
   }
 
-  /** Starts to accept callers. */
+  /** Starts to listen; rejects if the address can't be bound. */
   async listen(address: string, port: number): Promise<void> {
     const server = createServer((socket) => {
       this.accept(socket);
@@ -84,7 +85,10 @@
     this.server = server;
   }
 
-  /** Accepts nobody any more; sessions end as they become idle, the rest at `timeoutMs`. */
+  /**
+   * Stops accepting callers and closes connections that are not logged in. Sessions end as they become
+   * idle; those left after `timeoutMs` are closed.
+   */
   async drain(timeoutMs: number): Promise<void> {
     this.draining = true;
     this.server?.close();
@@ -125,14 +129,14 @@
       passwordOf: (user) => users.get(user),
       tls,
       timeoutMs: loginTimeoutMs,
-      reportedParameters: REPORTED,
+      reportedParameters: REPORTED_PARAMETERS,
       admit: (parameters) => Promise.resolve(this.admit(parameters)),
       onLogin: (info) => {
         this.loggedIn.add(socket);
-        this.begin(info);
+        this.startSession(info);
       },
       onFault: (fault) => {
-        metrics.callerFaults.inc({ fault: FAULTS[fault] });
+        metrics.callerFaults.inc({ fault: CALLER_FAULTS[fault] });
       },
       onCancel: (key) => {
         this.cancel(key);
@@ -141,13 +145,13 @@
   }
 
   private admit(parameters: ReadonlyMap<string, string>): ErrorFields | undefined {
-    const refusal = this.admissionFault(parameters);
+    const refusal = this.admissionRefusal(parameters);
     if (refusal === undefined) return undefined;
     this.options.metrics.refusals.inc({ reason: refusal.reason });
     return refusalFields(refusal, 'FATAL');
   }
 
-  private admissionFault(parameters: ReadonlyMap<string, string>): Refusal | undefined {
+  private admissionRefusal(parameters: ReadonlyMap<string, string>): Refusal | undefined {
     const user = parameters.get('user') ?? '';
     const database = parameters.get('database') ?? user;
     const { board } = this.options;
@@ -168,7 +172,7 @@
       : this.options.session.tokens.open(user, token);
   }
 
-  private begin(info: LoginInfo): void {
+  private startSession(info: LoginInfo): void {
     const floor = this.floorOf(info.user, info.parameters).unwrapOr([]);
     const session = new CallerSession(info, floor, this.options.session);
     const { processId, secret } = info.key;
--- a/packages/proxy/src/entry/caller-session.ts
+++ b/packages/proxy/src/entry/caller-session.ts
@@ -1,5 +1,5 @@
 /**
- * Session of one caller at its entry host: takes protocol messages, runs requests in order, keeps
+ * Session of one caller at its entry host: reads protocol messages, runs requests in order, and keeps
  * the session's floor, prepared statements and transaction state.
  */
 import type { Socket } from 'node:net';
@@ -31,11 +31,11 @@
 } from './local-statement.js';
 import { refusalFields } from './refusal-message.js';
 import type { PortalTexts, RequestBatch } from './request-batch.js';
-import { extendedBatch, intentOf, simpleBatch, withoutHidden } from './request-batch.js';
+import { extendedBatch, intentOf, simpleBatch, removeHidden } from './request-batch.js';
 import { startOption } from './start-option.js';
 import { StatementRegistry } from './statement-registry.js';
 
-/** What sessions share. */
+/** Dependencies and settings that all sessions of a host share. */
 export interface SessionContext {
   readonly host: HostId;
   readonly router: HomeRouter;
@@ -51,7 +51,7 @@
   readonly home: HostId;
 }
 
-/** Bytes of unprocessed messages at which reading from the caller pauses. */
+/** Bytes of unprocessed messages above which reading from the caller pauses. */
 const QUEUE_HIGH_BYTES = 4 * 1024 * 1024;
 
 /** One caller's session. */
@@ -65,17 +65,20 @@
   private queue: Buffer[] = [];
   private queuedBytes = 0;
   private batch: Buffer[] = [];
-  private skipping = false;
+  private skippingToSync = false;
   private busy = false;
   private closed = false;
   private floor: SessionFloor;
   private barrier: boolean;
   private transaction: OpenTransaction | undefined;
-  /** The transaction is gone; only its end is accepted, as after an error in PostgreSQL. */
-  private failed = false;
+  /**
+   * Whether the session is in a failed transaction that no longer exists at an upstream; only its end
+   * is accepted, as after an error in PostgreSQL.
+   */
+  private transactionLost = false;
   /** Whether the open transaction is in the upstream's failed state. */
-  private failedInside = false;
-  private current: AbortController | undefined;
+  private failedAtUpstream = false;
+  private currentAbort: AbortController | undefined;
   private readonly idleWaiters: (() => void)[] = [];
 
   constructor(
@@ -95,17 +98,17 @@
       this.receive(chunk);
     });
     this.socket.on('close', () => {
-      this.end();
+      this.onClose();
     });
     this.socket.on('error', () => undefined);
   }
 
   /** Cancels the request in progress. */
   cancel(): void {
-    this.current?.abort();
+    this.currentAbort?.abort();
   }
 
-  /** Ends the session once it has neither a request nor a transaction in progress. */
+  /** Ends the session as soon as it has neither a request nor a transaction in progress. */
   async drain(): Promise<void> {
     if (this.isBusy()) await new Promise<void>((resolve) => this.idleWaiters.push(resolve));
     if (this.closed) return;
@@ -115,7 +118,7 @@
     this.socket.end(encodeError(fields));
   }
 
-  /** Ends the session at once. */
+  /** Closes the connection at once. */
   destroy(): void {
     this.socket.destroy();
   }
@@ -124,12 +127,12 @@
     return this.busy || this.transaction !== undefined || this.queue.length > 0;
   }
 
-  private end(): void {
+  private onClose(): void {
     this.closed = true;
     this.queue = [];
-    this.current?.abort();
+    this.currentAbort?.abort();
     this.abandonTransaction();
-    this.wakeIdle();
+    this.resolveIdleWaiters();
   }
 
   private receive(chunk: Buffer): void {
@@ -148,66 +151,68 @@
       this.queuedBytes += message.length;
     }
     if (this.queuedBytes > QUEUE_HIGH_BYTES) this.socket.pause();
-    if (!this.busy) void this.pump();
+    if (!this.busy) void this.processQueue();
   }
 
-  private async pump(): Promise<void> {
+  private async processQueue(): Promise<void> {
     this.busy = true;
     for (;;) {
       const message = this.queue.shift();
       if (message === undefined || this.closed) break;
       this.queuedBytes -= message.length;
       if (this.queuedBytes < QUEUE_HIGH_BYTES && this.socket.isPaused()) this.socket.resume();
-      await this.take(message);
+      await this.handleMessage(message);
     }
     this.busy = false;
-    this.wakeIdle();
+    this.resolveIdleWaiters();
   }
 
-  private wakeIdle(): void {
+  private resolveIdleWaiters(): void {
     if (this.isBusy() && !this.closed) return;
     for (const wake of this.idleWaiters.splice(0)) wake();
   }
 
-  private async take(message: Buffer): Promise<void> {
+  private async handleMessage(message: Buffer): Promise<void> {
     switch (message[0]) {
       case FrontendType.Terminate:
         this.socket.end();
         return;
       case FrontendType.Query:
-        await this.takeQuery(message);
+        await this.handleQuery(message);
         return;
       case FrontendType.Sync:
-        await this.takeSync();
+        await this.handleSync();
         return;
       case FrontendType.Flush:
-        await this.takeFlush();
+        await this.handleFlush();
         return;
       default:
-        if (!this.skipping) this.batch.push(message);
+        if (!this.skippingToSync) this.batch.push(message);
     }
   }
 
-  private async takeQuery(message: Buffer): Promise<void> {
+  private async handleQuery(message: Buffer): Promise<void> {
     const sql = message.toString('utf8', 5, message.length - 1);
     const batch = simpleBatch(message, sql);
-    const answer = batch.isErr() ? this.refused(batch.error) : await this.run(batch.value);
+    const answer = batch.isErr() ? this.handleRefusal(batch.error) : await this.run(batch.value);
     this.write(Buffer.concat([answer, encodeReady(this.status())]));
   }
 
-  private async takeSync(): Promise<void> {
-    const answer = this.skipping ? Buffer.alloc(0) : await this.runBatch();
-    this.skipping = false;
+  private async handleSync(): Promise<void> {
+    const answer = this.skippingToSync ? Buffer.alloc(0) : await this.runBatch();
+    this.skippingToSync = false;
     this.write(Buffer.concat([answer, encodeReady(this.status())]));
   }
 
-  /** Answers what can be answered before Sync; executing before Sync is not supported. */
-  private async takeFlush(): Promise<void> {
-    if (this.skipping || this.batch.length === 0) return;
+  /** Runs the messages received before Flush; Execute before Flush is not supported. */
+  private async handleFlush(): Promise<void> {
+    if (this.skippingToSync || this.batch.length === 0) return;
     if (this.batch.some((message) => message[0] === FrontendType.Execute)) {
       this.batch = [];
-      this.skipping = true;
-      this.write(this.refused(refuse(RefusalReason.Unsupported, 'Execute followed by Flush')));
+      this.skippingToSync = true;
+      this.write(
+        this.handleRefusal(refuse(RefusalReason.Unsupported, 'Execute followed by Flush')),
+      );
       return;
     }
     this.write(await this.runBatch());
@@ -218,25 +223,27 @@
     this.batch = [];
     if (messages.length === 0) return Buffer.alloc(0);
     const batch = extendedBatch(messages, this.registry, this.portals);
-    return batch.isErr() ? this.refused(batch.error) : this.run(batch.value);
+    return batch.isErr() ? this.handleRefusal(batch.error) : this.run(batch.value);
   }
 
   private async run(batch: RequestBatch): Promise<Buffer> {
     const local = batch.executed.map(localStatement).find((found) => found !== undefined);
     if (local !== undefined) return this.runLocal(batch, local);
-    if (this.failed) return this.runFailed(batch);
-    const refusal = unsupported(batch);
-    if (refusal !== undefined) return this.refused(refusal);
+    if (this.transactionLost) return this.runInLostTransaction(batch);
+    const refusal = unsupportedRefusal(batch);
+    if (refusal !== undefined) return this.handleRefusal(refusal);
     return this.runRemote(batch);
   }
 
   private runLocal(batch: RequestBatch, local: LocalStatement): Buffer {
     if (batch.executed.length > 1) {
-      return this.refused(refuse(RefusalReason.Unsupported, 'proxy settings beside statements'));
+      return this.handleRefusal(
+        refuse(RefusalReason.Unsupported, 'proxy settings beside statements'),
+      );
     }
     if (local.kind === 'set-token') {
       const floor = this.context.tokens.open(this.user, local.token);
-      if (floor.isErr()) return this.refused(floor.error);
+      if (floor.isErr()) return this.handleRefusal(floor.error);
       for (const entry of floor.value) {
         this.floor = raiseFloor(this.floor, entry.group, entry.position);
       }
@@ -254,14 +261,17 @@
     return { tag: 'SHOW', column: local.name, value };
   }
 
-  /** After a lost transaction only its end is accepted, so that nothing runs outside of it. */
-  private runFailed(batch: RequestBatch): Buffer {
+  /**
+   * Accepts only the end of a lost transaction, so that none of its later statements runs outside of a
+   * transaction.
+   */
+  private runInLostTransaction(batch: RequestBatch): Buffer {
     const [kind] = batch.kinds;
     const ends = kind === StatementKind.Commit || kind === StatementKind.Rollback;
     if (!ends || batch.kinds.length !== 1) {
-      return this.refused(refuse(RefusalReason.TransactionLost));
+      return this.handleRefusal(refuse(RefusalReason.TransactionLost));
     }
-    this.failed = false;
+    this.transactionLost = false;
     return encodeLocalAnswer(batch.decoded, this.localResult({ kind: 'rollback' }));
   }
 
@@ -269,7 +279,7 @@
     const startedAt = performance.now();
     const deadlineMs = batch.marks.deadlineMs ?? this.context.defaultDeadlineMs;
     const intent = intentOf(batch, this.transaction !== undefined);
-    this.current = new AbortController();
+    this.currentAbort = new AbortController();
     const { outcome, home } = await this.context.router.run(
       {
         group: this.group,
@@ -281,32 +291,32 @@
         marks: batch.marks,
         arrivedAt: startedAt,
         deadlineAt: startedAt + deadlineMs,
-        cancel: this.current.signal,
+        cancel: this.currentAbort.signal,
       },
       this.transaction?.home,
     );
-    this.current = undefined;
+    this.currentAbort = undefined;
     this.context.metrics.latency.observe((performance.now() - startedAt) / MS_PER_SECOND);
     if (outcome.kind === 'refusal') {
       this.transaction = undefined;
-      if (intent === RunIntent.Continue) this.failed = true;
-      return this.refused(outcome.refusal);
+      if (intent === RunIntent.Continue) this.transactionLost = true;
+      return this.handleRefusal(outcome.refusal);
     }
-    return this.answered(batch, outcome, home);
+    return this.handleAnswer(batch, outcome, home);
   }
 
-  private answered(batch: RequestBatch, answer: RunAnswer, home: HostId | undefined): Buffer {
+  private handleAnswer(batch: RequestBatch, answer: RunAnswer, home: HostId | undefined): Buffer {
     const servedBy = answer.replica ? ServedBy.Replica : ServedBy.Primary;
     this.context.metrics.statements.inc({ served_by: servedBy });
     const open = answer.transaction !== 0 && home !== undefined;
     this.transaction = open ? { handle: answer.transaction, home } : undefined;
-    this.failedInside = answer.status === TransactionStatus.Failed;
+    this.failedAtUpstream = answer.status === TransactionStatus.Failed;
     if (!open) this.portals.clear();
     if (this.closed) this.abandonTransaction();
     const messages = this.splitAnswer(answer.bytes);
-    const shown = withoutHidden(messages, batch.hidden);
-    this.remember(batch, shown);
-    return Buffer.concat([this.moveFloor(answer), ...shown]);
+    const visible = removeHidden(messages, batch.hidden);
+    this.updateRegistry(batch, visible);
+    return Buffer.concat([this.raiseSessionFloor(answer), ...visible]);
   }
 
   private splitAnswer(bytes: Buffer): readonly Buffer[] {
@@ -314,8 +324,11 @@
     return splitter.push(bytes).unwrapOr([]);
   }
 
-  /** Raises the floor; gives the parameter status that tells the caller its new token. */
-  private moveFloor(answer: RunAnswer): Buffer {
+  /**
+   * Raises the session's floor; returns the ParameterStatus message with the new token, or an empty
+   * buffer if the floor is unchanged.
+   */
+  private raiseSessionFloor(answer: RunAnswer): Buffer {
     if (answer.position === undefined) return Buffer.alloc(0);
     this.barrier = false;
     const raised = raiseFloor(this.floor, this.group, answer.position);
@@ -324,11 +337,11 @@
     return encodeParameterStatus(TOKEN_PARAMETER, this.token());
   }
 
-  /** Keeps the statements whose Parse succeeded, also when a later message of the request failed. */
-  private remember(batch: RequestBatch, shown: readonly Buffer[]): void {
-    const completed = shown.filter((message) => message[0] === BackendType.ParseComplete).length;
+  /** Registers the statements whose Parse succeeded, even if a later message of the request failed. */
+  private updateRegistry(batch: RequestBatch, visible: readonly Buffer[]): void {
+    const completed = visible.filter((message) => message[0] === BackendType.ParseComplete).length;
     for (const statement of batch.parsed.slice(0, completed)) this.registry.put(statement);
-    const failed = shown.some((message) => message[0] === BackendType.Error);
+    const failed = visible.some((message) => message[0] === BackendType.Error);
     if (!failed) for (const name of batch.closed) this.registry.remove(name);
   }
 
@@ -337,15 +350,15 @@
   }
 
   private status(): TransactionStatus {
-    if (this.failed) return TransactionStatus.Failed;
+    if (this.transactionLost) return TransactionStatus.Failed;
     if (this.transaction === undefined) return TransactionStatus.Idle;
-    return this.failedInside ? TransactionStatus.Failed : TransactionStatus.InTransaction;
+    return this.failedAtUpstream ? TransactionStatus.Failed : TransactionStatus.InTransaction;
   }
 
-  /** Tells a refusal; inside a transaction it fails the transaction, as any error does. */
-  private refused(refusal: Refusal): Buffer {
+  /** Encodes a refusal; inside a transaction it fails the transaction, as any error does. */
+  private handleRefusal(refusal: Refusal): Buffer {
     this.context.metrics.refusals.inc({ reason: refusal.reason });
-    if (this.transaction !== undefined) this.failed = true;
+    if (this.transaction !== undefined) this.transactionLost = true;
     this.abandonTransaction();
     return encodeError(refusalFields(refusal, 'ERROR'));
   }
@@ -364,7 +377,7 @@
 
 const MS_PER_SECOND = 1000;
 
-function unsupported(batch: RequestBatch): Refusal | undefined {
+function unsupportedRefusal(batch: RequestBatch): Refusal | undefined {
   const index = batch.kinds.findIndex(
     (kind) => kind === StatementKind.Unsupported || kind === StatementKind.SetSession,
   );
--- a/packages/proxy/src/entry/home-router.ts
+++ b/packages/proxy/src/entry/home-router.ts
@@ -1,6 +1,7 @@
 /**
- * Finds a home for a request and hands it over: in this process when this host is one, else over a
- * link. A request is handed to another home only when it surely did not reach the first.
+ * Routes requests to a home of their group: in this process if this host is a home, otherwise over a
+ * link. A request is sent to another home only if it certainly did not run at the previous one, or if
+ * it is a read, which changes nothing.
  */
 import type { Blackboard, GroupId, HostId, Member } from '@gladespool/coordination';
 import {
@@ -18,13 +19,13 @@
 import type { RequestRunner, RunOutcome, RunRequest } from '../home/run-request.js';
 import type { RemoteHomes } from './remote-homes.js';
 
-/** An outcome and the home that gave it. */
+/** An outcome and the home that returned it. */
 export interface RoutedOutcome {
   readonly outcome: RunOutcome;
   readonly home: HostId | undefined;
 }
 
-/** Homes in this process. */
+/** The homes in this process. */
 export interface LocalHomes extends RequestRunner {
   abandon(group: GroupId, transaction: number): void;
 }
@@ -38,14 +39,14 @@
   readonly metrics: HostMetrics;
 }
 
-/** Routes requests to homes. */
+/** Routes the requests of this host's sessions to homes. */
 export class HomeRouter {
-  private turn = 0;
+  private roundRobin = 0;
   private readonly retries = new RetryLimiter(DEFAULT_RETRY_BUDGET);
 
   constructor(private readonly options: HomeRouterOptions) {}
 
-  /** Runs a request on a home, or on `pinned` when a transaction is open there. */
+  /** Runs a request on a home; on `pinned` only, if given, because a transaction is open there. */
   async run(req: RunRequest, pinned: HostId | undefined): Promise<RoutedOutcome> {
     this.retries.recordRequest();
     if (pinned !== undefined) return this.runOn(req, pinned);
@@ -59,7 +60,7 @@
     return last;
   }
 
-  /** Tells a home that the caller of an open transaction is gone. */
+  /** Notifies a home that the caller of an open transaction has disconnected. */
   abandon(req: Pick<RunRequest, 'group' | 'transaction'>, home: HostId): void {
     if (home === this.options.board.host) {
       this.options.local.abandon(req.group, req.transaction);
@@ -69,7 +70,7 @@
     if (member !== undefined) this.options.remote.abandon(member, req.group, req.transaction);
   }
 
-  /** Homes in order of preference: of this zone, then of the group's other zones. */
+  /** Returns homes in order of preference: those of this zone, then those of the group's other zones. */
   private candidates(req: RunRequest): readonly HostId[] {
     const { board, homesPerGroup } = this.options;
     const spec = board.spec(req.group);
@@ -77,7 +78,7 @@
     const zones = zonesOfGroup(spec);
     const near = zones.filter((az) => az === board.az);
     const far = zones.filter((az) => az !== board.az);
-    this.turn += 1;
+    this.roundRobin += 1;
     const perZone = [...near, ...far].map((az) => {
       const homes = homesOf(req.group, activeHosts(board.members, az), homesPerGroup);
       return rotate(homes, this.preferredIndex(homes));
@@ -85,10 +86,10 @@
     return perZone.flat();
   }
 
-  /** This host itself when it is a home, else the homes in turn. */
+  /** Index of this host if it is a home; otherwise round-robin over the homes. */
   private preferredIndex(homes: readonly HostId[]): number {
     const own = homes.indexOf(this.options.board.host);
-    return own >= 0 ? own : this.turn % Math.max(1, homes.length);
+    return own >= 0 ? own : this.roundRobin % Math.max(1, homes.length);
   }
 
   private async runOn(req: RunRequest, home: HostId): Promise<RoutedOutcome> {
@@ -115,7 +116,7 @@
   return outcome.kind === 'refusal' && UNSENT.has(outcome.refusal.reason);
 }
 
-/** A read whose home was lost may be run again, since it changed nothing. */
+/** Whether the connection was lost during a read, which may be retried because it changes nothing. */
 function isLostRead(req: RunRequest, outcome: RunOutcome): boolean {
   if (req.intent !== RunIntent.Read || outcome.kind !== 'refusal') return false;
   return outcome.refusal.reason === RefusalReason.UpstreamLostReading;
--- a/packages/proxy/src/entry/local-statement.ts
+++ b/packages/proxy/src/entry/local-statement.ts
@@ -1,6 +1,6 @@
 /**
- * Statements that the entry answers itself: the session token, and settings whose value at the
- * upstream is the asked one anyway.
+ * Statements that the entry answers itself: SHOW and SET of the proxy's own parameters, and SET of
+ * settings that have no effect on the upstream or request the value that it has anyway.
  */
 import type { FrontendMessage } from '@gladespool/protocol';
 import {
@@ -16,42 +16,42 @@
 
 /** Name of the parameter that carries the session token. */
 export const TOKEN_PARAMETER = 'gladespool.session_token';
-/** Start-up parameter by which a caller says that it resumes a session without a token. */
+/** Start-up parameter with which a caller states that it resumes a session without a token. */
 export const RESUMED_PARAMETER = 'gladespool.session_resumed';
-/** Name of the parameter that names the host that serves the session. */
+/** Name of the parameter that holds the id of the host that serves the session. */
 export const HOST_PARAMETER = 'gladespool.host';
 
-/** A statement answered by the entry. */
+/** A statement that the entry answers. */
 export type LocalStatement =
   | { readonly kind: 'show'; readonly name: string }
   | { readonly kind: 'set-token'; readonly token: string }
-  /** A setting that is accepted without effect, because it asks for what holds anyway. */
+  /** A setting that is accepted without effect, because it is not needed or has the requested value. */
   | { readonly kind: 'accept' }
   | { readonly kind: 'rollback' };
 
 const SHOW = /^\s*SHOW\s+"?(gladespool\.(?:session_token|host))"?\s*;?\s*$/i;
 const SET_TOKEN =
   /^\s*SET\s+(?:SESSION\s+)?gladespool\.session_token\s*(?:=|TO)\s*'([A-Za-z0-9_-]*)'\s*;?\s*$/i;
-const SET_HARMLESS =
+const SET_WITHOUT_EFFECT =
   /^\s*SET\s+(?:SESSION\s+)?(?:application_name\s*(?:=|TO)\s*\S.*|extra_float_digits\s*(?:=|TO)\s*'?\d'?|client_encoding\s*(?:=|TO)\s*'?(?:UTF-?8|UNICODE)'?|standard_conforming_strings\s*(?:=|TO)\s*'?on'?)\s*;?\s*$/i;
 
-/** Recognizes a statement that the entry answers. */
+/** Parses a statement that the entry answers; undefined for any other statement. */
 export function localStatement(sql: string): LocalStatement | undefined {
   const shown = SHOW.exec(sql)?.[1];
   if (shown !== undefined) return { kind: 'show', name: shown.toLowerCase() };
   const token = SET_TOKEN.exec(sql)?.[1];
   if (token !== undefined) return { kind: 'set-token', token };
-  return SET_HARMLESS.test(sql) ? { kind: 'accept' } : undefined;
+  return SET_WITHOUT_EFFECT.test(sql) ? { kind: 'accept' } : undefined;
 }
 
-/** Answer of a local statement: one column and row, or a bare tag. */
+/** Result of a local statement: one row with one column, or only a command tag. */
 export interface LocalResult {
   readonly tag: string;
   readonly column: string | undefined;
   readonly value: string;
 }
 
-/** Encodes the answer to the caller's messages, as a server would. */
+/** Encodes the answer to the caller's messages as a PostgreSQL server would. */
 export function encodeLocalAnswer(
   messages: readonly FrontendMessage[],
   result: LocalResult,
--- a/packages/proxy/src/entry/refusal-message.ts
+++ b/packages/proxy/src/entry/refusal-message.ts
@@ -1,12 +1,13 @@
 /**
- * Encodes refusals as PostgreSQL errors whose fields tell a program what happened:
- * `DETAIL: reason=<reason> ran=<no|unknown|yes>` and, where asking again helps, a hint when.
+ * Encodes refusals as PostgreSQL errors with machine-readable fields:
+ * `DETAIL: reason=<reason> ran=<no|unknown|yes>` and, if a retry can succeed,
+ * `HINT: retry_after_ms=<milliseconds>`.
  */
 import type { Refusal } from '@gladespool/coordination';
 import { REFUSAL_RULES } from '@gladespool/coordination';
 import type { ErrorFields } from '@gladespool/protocol';
 
-/** Fields of the error that tells a caller of a refusal. */
+/** Returns the fields of the error that reports a refusal to the caller. */
 export function refusalFields(refusal: Refusal, severity: ErrorFields['severity']): ErrorFields {
   const rule = REFUSAL_RULES[refusal.reason];
   const message = refusal.detail === '' ? rule.message : `${rule.message}: ${refusal.detail}`;
--- a/packages/proxy/src/entry/remote-homes.ts
+++ b/packages/proxy/src/entry/remote-homes.ts
@@ -1,6 +1,6 @@
 /**
- * Requests in flight to homes on other hosts. An answer counts only on the link and under the id
- * with which its request was sent; late, repeated or stray answers are dropped.
+ * Requests in flight to homes on other hosts. An answer is accepted only on the link, and with the id
+ * and epoch, of its request; late, duplicate and unknown answers are dropped.
  */
 import type { GroupId, Member } from '@gladespool/coordination';
 import { RefusalReason, refuse } from '@gladespool/coordination';
@@ -15,10 +15,10 @@
   readonly settle: (outcome: RunOutcome) => void;
 }
 
-/** Time beyond a request's deadline after which its answer is given up, milliseconds. */
+/** Time after a request's deadline at which the wait for its answer ends, milliseconds. */
 const ANSWER_GRACE_MS = 500;
 
-/** Client side of requests between hosts. */
+/** Client of the homes on other hosts. */
 export class RemoteHomes implements PeerHandler {
   private readonly pending = new Map<number, Pending>();
   private lastId = 0;
@@ -30,12 +30,12 @@
     network.addHandler(this);
   }
 
-  /** Requests without an answer. */
+  /** Number of requests that await an answer. */
   get inFlight(): number {
     return this.pending.size;
   }
 
-  /** Runs a request on the home at `member`. */
+  /** Runs a request on the home at `member`; cancellation is forwarded to it. */
   async run(member: Member, req: RunRequest): Promise<RunOutcome> {
     const link = await this.network.linkTo(member);
     if (link.isErr()) return refusalOf(RefusalReason.PeerUnreachable);
@@ -48,7 +48,7 @@
         link.value.send({ kind: FrameKind.Cancel, id });
       };
       const limit = new TimeLimit(timeoutMs + ANSWER_GRACE_MS, () => {
-        this.settle(id, lost(req.intent));
+        this.settle(id, lostOutcome(req.intent));
       });
       const settle = (outcome: RunOutcome): void => {
         limit.clear();
@@ -62,7 +62,7 @@
     });
   }
 
-  /** Tells a home that a transaction's caller is gone. */
+  /** Notifies a home that the caller of an open transaction has disconnected. */
   abandon(member: Member, group: GroupId, transaction: number): void {
     void this.network.sendTo(member, { kind: FrameKind.Abandon, group, transaction });
   }
@@ -75,7 +75,7 @@
 
   onLost(link: PeerLink): void {
     for (const [id, pending] of [...this.pending]) {
-      if (pending.link === link) this.settle(id, lost(pending.intent));
+      if (pending.link === link) this.settle(id, lostOutcome(pending.intent));
     }
   }
 
@@ -123,7 +123,7 @@
   };
 }
 
-function lost(intent: RunIntent): RunOutcome {
+function lostOutcome(intent: RunIntent): RunOutcome {
   if (intent === RunIntent.Read || intent === RunIntent.BeginReadOnly) {
     return refusalOf(RefusalReason.UpstreamLostReading);
   }
--- a/packages/proxy/src/entry/request-batch.ts
+++ b/packages/proxy/src/entry/request-batch.ts
@@ -1,6 +1,7 @@
 /**
- * One request of a caller: a simple query, or extended messages up to Sync. Adds the prepared
- * statements that it refers to, and takes their completions out of the answer again.
+ * Builds a request from a caller's simple query, or from its extended query messages up to Sync or
+ * Flush. Adds the prepared statements that the request refers to, and removes the completion messages
+ * of these additions from the answer.
  */
 import type { Refusal, RequestMarks } from '@gladespool/coordination';
 import { NO_MARKS, RefusalReason, refuse } from '@gladespool/coordination';
@@ -19,33 +20,38 @@
 import { err, ok } from 'neverthrow';
 import { serialize } from 'pg-protocol';
 import type { PreparedStatement, StatementRegistry } from './statement-registry.js';
-import { closing, MAX_STATEMENTS, neededStatement, preparing } from './statement-registry.js';
+import {
+  closeMessage,
+  MAX_STATEMENTS,
+  referencedStatement,
+  prepareMessages,
+} from './statement-registry.js';
 
-/** A request ready to be run. */
+/** A request that is ready to run. */
 export interface RequestBatch {
   /** Messages for the upstream, ending in one Query or Sync. */
   readonly messages: Buffer;
   /** The caller's own messages, decoded. */
   readonly decoded: readonly FrontendMessage[];
-  /** Texts that it executes, without marks, in order. */
+  /** SQL texts that the request executes, without their request marks, in order. */
   readonly executed: readonly string[];
   readonly kinds: readonly StatementKind[];
   readonly marks: RequestMarks;
   /** Statements that the caller's own messages parse, in order. */
   readonly parsed: readonly PreparedStatement[];
-  /** Names of statements that it closes. */
+  /** Names of statements that the caller's own messages close. */
   readonly closed: readonly string[];
-  /** For each completion of a Parse or Close in order: whether the caller must not see it. */
+  /** Completion messages that must be removed from the answer. */
   readonly hidden: HiddenCompletions;
 }
 
-/** Completions that were not asked for by the caller. */
+/** For each ParseComplete and CloseComplete, in order: whether it answers a message of the proxy. */
 export interface HiddenCompletions {
   readonly parse: readonly boolean[];
   readonly close: readonly boolean[];
 }
 
-/** Texts of portals that outlive one request inside a transaction. */
+/** SQL texts of portals by name; inside a transaction, portals outlive the request that binds them. */
 export type PortalTexts = Map<string, string>;
 
 interface Draft {
@@ -59,16 +65,16 @@
   readonly hiddenClose: boolean[];
 }
 
-/** Builds the request of a simple query. */
+/** Builds the request for a simple query. */
 export function simpleBatch(message: Buffer, sql: string): Result<RequestBatch, Refusal> {
   const draft = newDraft();
   draft.out.push(message);
   draft.decoded.push({ type: FrontendType.Query, sql });
   draft.texts.push(sql);
-  return finish(draft);
+  return buildBatch(draft);
 }
 
-/** Builds the request of extended messages; a Sync is added at the end. */
+/** Builds the request for extended query messages; a Sync is appended. */
 export function extendedBatch(
   messages: readonly Buffer[],
   registry: StatementRegistry,
@@ -85,11 +91,11 @@
     if (refusal !== undefined) return err(refusal);
   }
   draft.out.push(serialize.sync());
-  return finish(draft);
+  return buildBatch(draft);
 }
 
-/** Takes hidden completions out of an answer. */
-export function withoutHidden(
+/** Removes the hidden completions from an answer. */
+export function removeHidden(
   messages: readonly Buffer[],
   hidden: HiddenCompletions,
 ): readonly Buffer[] {
@@ -102,30 +108,32 @@
   });
 }
 
-/** What a request asks of a home, given whether a transaction is open. */
+/** Returns the intent with which a home runs a request, given whether a transaction is open. */
 export function intentOf(batch: RequestBatch, inTransaction: boolean): RunIntent {
   const { kinds } = batch;
-  if (inTransaction) return batch.executed.some(mayEnd) ? RunIntent.End : RunIntent.Continue;
-  if (kinds.every((kind) => READING.has(kind))) return RunIntent.Read;
-  const ends = kinds.lastIndexOf(StatementKind.Commit);
-  const rolls = kinds.lastIndexOf(StatementKind.Rollback);
-  const isOpen = (kind: StatementKind): boolean => kinds.lastIndexOf(kind) > Math.max(ends, rolls);
+  if (inTransaction)
+    return batch.executed.some(mayEndTransaction) ? RunIntent.End : RunIntent.Continue;
+  if (kinds.every((kind) => READ_KINDS.has(kind))) return RunIntent.Read;
+  const lastCommit = kinds.lastIndexOf(StatementKind.Commit);
+  const lastRollback = kinds.lastIndexOf(StatementKind.Rollback);
+  const isOpen = (kind: StatementKind): boolean =>
+    kinds.lastIndexOf(kind) > Math.max(lastCommit, lastRollback);
   if (isOpen(StatementKind.Begin)) return RunIntent.Begin;
   if (isOpen(StatementKind.BeginReadOnly)) return RunIntent.BeginReadOnly;
   return RunIntent.Write;
 }
 
-const READING: ReadonlySet<StatementKind> = new Set([
+const READ_KINDS: ReadonlySet<StatementKind> = new Set([
   StatementKind.Empty,
   StatementKind.Read,
   StatementKind.Show,
 ]);
-const ENDING = /\b(?:commit|end|rollback|abort)\b/i;
-const KEEPING = /^\s*rollback\s+(?:work\s+|transaction\s+)?to\b/i;
+const TRANSACTION_END = /\b(?:commit|end|rollback|abort)\b/i;
+const ROLLBACK_TO_SAVEPOINT = /^\s*rollback\s+(?:work\s+|transaction\s+)?to\b/i;
 
-/** Whether a text may end the open transaction; a false yes only costs a status query. */
-function mayEnd(sql: string): boolean {
-  return ENDING.test(sql) && !KEEPING.test(sql);
+/** Whether a text may end the open transaction; a false positive only costs a status query. */
+function mayEndTransaction(sql: string): boolean {
+  return TRANSACTION_END.test(sql) && !ROLLBACK_TO_SAVEPOINT.test(sql);
 }
 
 function newDraft(): Draft {
@@ -148,8 +156,9 @@
   registry: StatementRegistry,
   portals: PortalTexts,
 ): Refusal | undefined {
-  const needed = neededStatement(decoded);
-  if (needed !== undefined && !draft.parsed.has(needed)) prepareFirst(draft, registry.get(needed));
+  const referenced = referencedStatement(decoded);
+  if (referenced !== undefined && !draft.parsed.has(referenced))
+    addPrepared(draft, registry.get(referenced));
   if (decoded.type === FrontendType.Parse) {
     if (registry.size + draft.parsed.size >= MAX_STATEMENTS) {
       return refuse(RefusalReason.Unsupported, `more than ${MAX_STATEMENTS} prepared statements`);
@@ -170,9 +179,9 @@
   return undefined;
 }
 
-function prepareFirst(draft: Draft, statement: PreparedStatement | undefined): void {
+function addPrepared(draft: Draft, statement: PreparedStatement | undefined): void {
   if (statement === undefined) return;
-  draft.out.push(...preparing(statement));
+  draft.out.push(...prepareMessages(statement));
   draft.hiddenParse.push(true);
   if (statement.name !== '') draft.hiddenClose.push(true);
   draft.parsed.set(statement.name, statement);
@@ -180,7 +189,7 @@
 
 function addParse(draft: Draft, message: Buffer, name: string, sql: string): void {
   if (name !== '') {
-    draft.out.push(closing(name));
+    draft.out.push(closeMessage(name));
     draft.hiddenClose.push(true);
   }
   draft.out.push(message);
@@ -190,14 +199,14 @@
   draft.own.push(statement);
 }
 
-function finish(draft: Draft): Result<RequestBatch, Refusal> {
+function buildBatch(draft: Draft): Result<RequestBatch, Refusal> {
   let marks = NO_MARKS;
   const executed: string[] = [];
   for (const text of draft.texts) {
-    const marked = readMarks(text);
-    if (marked.isErr()) return err(marked.error);
-    executed.push(marked.value.sql);
-    if (marked.value.marks !== NO_MARKS) marks = marked.value.marks;
+    const parsedText = readMarks(text);
+    if (parsedText.isErr()) return err(parsedText.error);
+    executed.push(parsedText.value.sql);
+    if (parsedText.value.marks !== NO_MARKS) marks = parsedText.value.marks;
   }
   return ok({
     messages: Buffer.concat(draft.out),
--- a/packages/proxy/src/entry/start-option.ts
+++ b/packages/proxy/src/entry/start-option.ts
@@ -1,17 +1,19 @@
 /**
- * Options that a caller states at start-up, as parameters of their own or as `-c name=value` words
- * of the `options` parameter.
+ * Options that a caller sets at start-up, either as start-up parameters or as `-c name=value` arguments
+ * in the `options` parameter.
  */
 
-/** Value of an option; undefined when it is not stated. */
+/** Returns the value of an option; undefined if it is not set. */
 export function startOption(
   parameters: ReadonlyMap<string, string>,
   name: string,
 ): string | undefined {
-  const own = parameters.get(name);
-  if (own !== undefined) return own;
-  const words = (parameters.get('options') ?? '').split(/\s+/);
+  const parameter = parameters.get(name);
+  if (parameter !== undefined) return parameter;
+  const args = (parameters.get('options') ?? '').split(/\s+/);
   const prefixes = [`${name}=`, `-c${name}=`];
-  const word = words.find((candidate) => prefixes.some((prefix) => candidate.startsWith(prefix)));
-  return word?.slice(word.indexOf('=') + 1);
+  const argument = args.find((candidate) =>
+    prefixes.some((prefix) => candidate.startsWith(prefix)),
+  );
+  return argument?.slice(argument.indexOf('=') + 1);
 }
--- a/packages/proxy/src/entry/statement-registry.ts
+++ b/packages/proxy/src/entry/statement-registry.ts
@@ -1,6 +1,6 @@
 /**
- * Prepared statements of one caller. They live at the entry, because the caller's requests run on
- * changing upstream connections; each request carries the statements that it refers to.
+ * Prepared statements of one caller. They are stored at the entry, because the caller's requests run
+ * on changing upstream connections; each request includes the statements that it refers to.
  */
 import type { FrontendMessage } from '@gladespool/protocol';
 import { FrontendType, TargetKind } from '@gladespool/protocol';
@@ -14,10 +14,10 @@
   readonly parse: Buffer;
 }
 
-/** Statements kept for one caller at most; a Parse of one more is refused. */
+/** Maximum number of statements of one caller; a Parse beyond it is refused. */
 export const MAX_STATEMENTS = 1000;
 
-/** Statements of one caller by name. */
+/** Prepared statements of one caller by name. */
 export class StatementRegistry {
   private readonly statements = new Map<string, PreparedStatement>();
 
@@ -38,19 +38,19 @@
   }
 }
 
-/** Messages that make an upstream connection hold a statement, whatever it held under that name. */
-export function preparing(statement: PreparedStatement): readonly Buffer[] {
+/** Returns the messages that prepare a statement, replacing any statement of the same name. */
+export function prepareMessages(statement: PreparedStatement): readonly Buffer[] {
   if (statement.name === '') return [statement.parse];
-  return [closing(statement.name), statement.parse];
+  return [closeMessage(statement.name), statement.parse];
 }
 
-/** Close of a named statement; closing one that does not exist is no error. */
-export function closing(name: string): Buffer {
+/** Returns the Close message of a named statement; closing one that does not exist is no error. */
+export function closeMessage(name: string): Buffer {
   return serialize.close({ type: 'S', name });
 }
 
-/** Name of the statement that a message needs to exist already; undefined when it needs none. */
-export function neededStatement(message: FrontendMessage): string | undefined {
+/** Returns the name of the prepared statement that a message refers to; undefined if it refers to none. */
+export function referencedStatement(message: FrontendMessage): string | undefined {
   if (message.type === FrontendType.Bind) return message.statement;
   if (message.type === FrontendType.Describe && message.target === TargetKind.Statement) {
     return message.name;
