--- a/packages/upstreams/src/answer-segment.ts
+++ b/packages/upstreams/src/answer-segment.ts
@@ -1,19 +1,19 @@
 /**
- * The answer of an upstream up to one ReadyForQuery message.
+ * Part of an upstream's reply that ends with one ReadyForQuery message.
  */
 import { BackendType, MESSAGE_HEADER_BYTES, TransactionStatus } from '@gladespool/protocol';
 
-/** One segment of an answer. */
+/** One segment of a reply. */
 export interface AnswerSegment {
-  /** Messages in order, without the closing ReadyForQuery. */
+  /** Messages in order, without the final ReadyForQuery. */
   readonly messages: readonly Buffer[];
-  /** Transaction state after the segment. */
+  /** Transaction status that the ReadyForQuery message reports. */
   readonly status: TransactionStatus;
 }
 
 const SQLSTATE_LENGTH = 5;
 
-/** SQLSTATE of the first error in a segment; undefined when there is none. */
+/** Returns the SQLSTATE of the first error in a segment; undefined if there is none. */
 export function errorStateOf(segment: AnswerSegment): string | undefined {
   const error = segment.messages.find((message) => message[0] === BackendType.Error);
   if (error === undefined) return undefined;
@@ -22,7 +22,7 @@
   return field?.slice(1, 1 + SQLSTATE_LENGTH) ?? 'XX000';
 }
 
-/** Text values of the first row of a segment; undefined when it has none. */
+/** Returns the text values of the first row in a segment; undefined if it has no row. */
 export function firstRowOf(segment: AnswerSegment): readonly (string | null)[] | undefined {
   const row = segment.messages.find((message) => message[0] === BackendType.DataRow);
   return row === undefined ? undefined : readRow(row);
@@ -45,7 +45,7 @@
   return values;
 }
 
-/** Whether a segment left the connection outside a transaction. */
+/** Whether the connection is outside a transaction after a segment. */
 export function isIdle(segment: AnswerSegment): boolean {
   return segment.status === TransactionStatus.Idle;
 }
--- a/packages/upstreams/src/control-sql.ts
+++ b/packages/upstreams/src/control-sql.ts
@@ -1,7 +1,7 @@
 /**
- * Control statements that an upstream answers: the platform's database groups "carry terms and log
- * positions", read and set through SQL functions. docs/INTERFACES.md tells how a PostgreSQL
- * server meets them.
+ * SQL control statements of upstreams. The platform's database groups carry terms and log positions;
+ * SQL functions read and set them. docs/INTERFACES.md describes how a PostgreSQL server provides
+ * these functions.
  */
 import type { Lineage, UpstreamId, UpstreamReport } from '@gladespool/coordination';
 import { UpstreamRole } from '@gladespool/coordination';
@@ -9,13 +9,13 @@
 import { err, ok } from 'neverthrow';
 import * as z from 'zod';
 
-/** Statement that returns one row with the one column {@link STATUS_COLUMN}. */
+/** Statement that returns one row with the single column {@link STATUS_COLUMN}. */
 export const STATUS_SQL = 'SELECT * FROM gladespool_status()';
 
 /**
- * The one column of a status row: role, received term and offset, applied term and offset, fenced
- * term, open transactions and lineage, separated by blanks. One column keeps the answer small: a
- * home asks each upstream of each of its groups every status interval.
+ * Only column of a status row: role, received term and offset, applied term and offset, fenced
+ * term, open transactions and lineage, separated by spaces. A single column keeps the reply small,
+ * because a home queries each upstream of each of its groups every status interval.
  */
 export const STATUS_COLUMN = 's';
 
@@ -31,35 +31,35 @@
   z.string(),
 ]);
 
-/** Where a replica finds its primary. */
+/** Primary that a replica replicates from. */
 export interface FollowTarget {
   readonly upstream: UpstreamId;
   readonly address: string;
   readonly port: number;
 }
 
-/** Statement that makes an upstream refuse every write of a term below `term`. */
+/** Returns the statement that makes an upstream reject all writes of terms below `term`. */
 export function fenceSql(term: number): string {
   return `SELECT * FROM gladespool_fence(${term})`;
 }
 
-/** Statement that makes an upstream the primary of `term`; repeating it changes nothing. */
+/** Returns the statement that makes an upstream the primary of `term`; it is idempotent. */
 export function promoteSql(term: number, lineage: Lineage): string {
   return `SELECT * FROM gladespool_promote(${term}, '${encodeLineage(lineage)}')`;
 }
 
-/** Statement that makes an upstream a replica of `target`, its log truncated to `lineage`. */
+/** Returns the statement that makes an upstream a replica of `target` and truncates its log to `lineage`. */
 export function followSql(term: number, target: FollowTarget, lineage: Lineage): string {
-  const where = `'${target.upstream}', '${target.address}', ${target.port}`;
-  return `SELECT * FROM gladespool_follow(${term}, ${where}, '${encodeLineage(lineage)}')`;
+  const targetArguments = `'${target.upstream}', '${target.address}', ${target.port}`;
+  return `SELECT * FROM gladespool_follow(${term}, ${targetArguments}, '${encodeLineage(lineage)}')`;
 }
 
-/** Lineage as text: `term:start` pairs joined by commas. */
+/** Encodes a lineage as `term:start` pairs, separated by commas. */
 export function encodeLineage(lineage: Lineage): string {
   return lineage.map((entry) => `${entry.term}:${entry.start}`).join(',');
 }
 
-/** Reads a lineage text; undefined when it is malformed. */
+/** Decodes a lineage; undefined if the text is malformed. */
 export function decodeLineage(text: string): Lineage | undefined {
   if (text === '') return [];
   const entries = text.split(',').map((pair) => {
@@ -70,21 +70,29 @@
   return complete.length === entries.length ? complete : undefined;
 }
 
-/** Writes a status text. */
+/** Encodes a report as the value of {@link STATUS_COLUMN}. */
 export function encodeStatus(report: UpstreamReport): string {
   const { role, received, applied, fencedTerm, openTransactions, lineage } = report;
   const positions = [received.term, received.offset, applied.term, applied.offset];
   return [role, ...positions, fencedTerm, openTransactions, encodeLineage(lineage)].join(' ');
 }
 
-/** Reads a status text. */
+/** Decodes a value of {@link STATUS_COLUMN}; the error says which part is invalid. */
 export function decodeStatus(upstream: UpstreamId, text: string): Result<UpstreamReport, string> {
   const parsed = statusFields.safeParse(text.split(' '));
   if (!parsed.success) return err(z.prettifyError(parsed.error));
-  const [role, receivedTerm, receivedOffset, appliedTerm, appliedOffset, fencedTerm, open, terms] =
-    parsed.data;
-  const lineage = decodeLineage(terms);
-  if (lineage === undefined) return err(`lineage is not valid: ${terms}`);
+  const [
+    role,
+    receivedTerm,
+    receivedOffset,
+    appliedTerm,
+    appliedOffset,
+    fencedTerm,
+    openTransactions,
+    lineageText,
+  ] = parsed.data;
+  const lineage = decodeLineage(lineageText);
+  if (lineage === undefined) return err(`lineage is not valid: ${lineageText}`);
   return ok({
     upstream,
     role,
@@ -92,6 +100,6 @@
     applied: { term: appliedTerm, offset: appliedOffset },
     fencedTerm,
     lineage,
-    openTransactions: open,
+    openTransactions,
   });
 }
--- a/packages/upstreams/src/upstream-connection.ts
+++ b/packages/upstreams/src/upstream-connection.ts
@@ -1,6 +1,6 @@
 /**
- * One connection to an upstream. `pg` connects and authenticates; afterwards messages pass through
- * unchanged, so that binary values and every message type arrive as the upstream sent them.
+ * Connection to an upstream. `pg` connects and authenticates; afterwards messages are passed through
+ * unchanged, so that binary values and all message types arrive as the upstream sent them.
  */
 import type { Socket } from 'node:net';
 import type { GladespoolError, UpstreamSpec } from '@gladespool/coordination';
@@ -18,27 +18,27 @@
 import pg from 'pg';
 import type { AnswerSegment } from './answer-segment.js';
 
-/** How connections to upstreams are made. */
+/** Options for connecting to upstreams. */
 export interface UpstreamAccess {
   readonly user: string;
   readonly password: string;
-  /** Longest time for connecting and authenticating, milliseconds. */
+  /** Timeout for connecting and authenticating, milliseconds. */
   readonly connectTimeoutMs: number;
-  /** Largest answer held for one exchange, bytes. */
+  /** Maximum size of a reply that is buffered for one exchange, bytes. */
   readonly maxAnswerBytes: number;
-  /** Name under which the upstream lists the connection. */
+  /** Application name that the upstream shows for the connection. */
   readonly applicationName: string;
-  /** Creates the socket, not yet connected. */
+  /** Creates an unconnected socket. */
   readonly createSocket: () => Socket;
 }
 
-/** Why an exchange failed. */
+/** Reason why an exchange failed. */
 export enum ExchangeFailure {
-  /** The connection ended or broke the protocol. */
+  /** The connection was closed or the upstream violated the protocol. */
   Lost = 'lost',
-  /** The deadline passed with the answer outstanding; the connection is closed. */
+  /** The deadline expired before the reply was complete; the connection is closed. */
   Deadline = 'deadline',
-  /** The answer was larger than allowed; the connection is closed. */
+  /** The reply exceeded the maximum size; the connection is closed. */
   TooLarge = 'too-large',
 }
 
@@ -50,7 +50,7 @@
   readonly settle: (result: Result<readonly AnswerSegment[], ExchangeFailure>) => void;
 }
 
-/** Internals of a `pg` client that its type declarations leave out. */
+/** Internals of a `pg` client that its type declarations omit. */
 interface ClientInternals {
   readonly connection: { readonly stream: Socket };
   readonly processID: number;
@@ -59,12 +59,12 @@
 
 const CANCEL_REQUEST_CODE = 80877102;
 
-/** A connected upstream session; runs one exchange at a time. */
+/** Authenticated session on an upstream; runs one exchange at a time. */
 export class UpstreamConnection implements PoolConnection {
   private pending: PendingExchange | undefined;
   private readonly splitter: MessageSplitter;
   private closed = false;
-  /** Transaction state after the last segment. */
+  /** Transaction status after the last segment. */
   status: TransactionStatus = TransactionStatus.Idle;
 
   private constructor(
@@ -104,19 +104,19 @@
       await client.connect();
     } catch (cause) {
       client.end().catch(() => undefined);
-      const place = { step: Step.UpstreamConnect, peer: `${spec.address}:${spec.port}` };
-      return err(gladespoolError(place, `upstream ${spec.id} refused a connection`, { cause }));
+      const context = { step: Step.UpstreamConnect, peer: `${spec.address}:${spec.port}` };
+      return err(gladespoolError(context, `upstream ${spec.id} refused a connection`, { cause }));
     }
     const internals = client as unknown as ClientInternals;
     return ok(new UpstreamConnection(spec, access, internals.connection.stream, internals));
   }
 
-  /** Bytes sent and received so far. */
+  /** Total bytes sent and received. */
   get bytes(): number {
     return this.socket.bytesRead + this.socket.bytesWritten;
   }
 
-  /** Whether the connection can take an exchange. */
+  /** Whether an exchange can be started. */
   get usable(): boolean {
     return !this.closed && this.pending === undefined;
   }
@@ -125,15 +125,15 @@
     return this.status === TransactionStatus.Idle;
   }
 
-  /** Whether the connection has ended. */
+  /** Whether the connection is closed. */
   get ended(): boolean {
     return this.closed;
   }
 
   /**
-   * Sends messages and collects the answer up to `segments` ReadyForQuery messages.
+   * Sends messages and collects the reply up to `segments` ReadyForQuery messages.
    *
-   * A failed exchange closes the connection: an answer may still be outstanding on it.
+   * A failed exchange closes the connection, because a reply may still be outstanding on it.
    */
   exchange(
     payload: Buffer,
@@ -159,7 +159,7 @@
     });
   }
 
-  /** Asks the upstream to cancel the running statement, over a connection of its own. */
+  /** Sends a cancel request for the running statement over a separate connection. */
   cancelRunning(): void {
     const request = Buffer.alloc(16);
     request.writeInt32BE(request.length, 0);
@@ -172,7 +172,7 @@
     socket.end(request);
   }
 
-  /** Closes the connection; an exchange in progress fails as lost. */
+  /** Closes the connection; an exchange in progress fails with {@link ExchangeFailure.Lost}. */
   close(): void {
     this.fail(ExchangeFailure.Lost);
   }
@@ -183,10 +183,10 @@
       this.fail(ExchangeFailure.TooLarge);
       return;
     }
-    for (const message of messages.value) this.take(message);
+    for (const message of messages.value) this.handleMessage(message);
   }
 
-  private take(message: Buffer): void {
+  private handleMessage(message: Buffer): void {
     const type = message[0];
     const isAsynchronous =
       type === BackendType.ParameterStatus ||
@@ -225,5 +225,5 @@
   }
 }
 
-/** An upstream connection lent to one request or transaction. */
+/** Lease of an upstream connection for one request or transaction. */
 export type Lease = PoolLease<UpstreamConnection>;
--- a/packages/upstreams/src/upstream-control.ts
+++ b/packages/upstreams/src/upstream-control.ts
@@ -1,6 +1,6 @@
 /**
- * The control connection of a home to one upstream: status, fence, promote and follow statements,
- * apart from the budget that requests share. Status queries that coincide share one answer.
+ * Control connection of a home to one upstream for status, fence, promote and follow statements. It
+ * does not count against the connection budget of requests. Concurrent status queries share one reply.
  */
 import type { GladespoolError, TimedReport, UpstreamSpec } from '@gladespool/coordination';
 import { gladespoolError, Step } from '@gladespool/coordination';
@@ -13,7 +13,7 @@
 import type { UpstreamAccess } from './upstream-connection.js';
 import { UpstreamConnection } from './upstream-connection.js';
 
-/** Application name of control connections, which the budget of request connections leaves out. */
+/** Application name of control connections, which do not count against the budget of request connections. */
 export const CONTROL_APPLICATION = 'gladespool-control';
 
 /** Outcome of a control statement. */
@@ -24,11 +24,11 @@
   readonly spec: UpstreamSpec;
   readonly database: string;
   readonly access: UpstreamAccess;
-  /** Longest wait for an answer, milliseconds. */
+  /** Timeout for a reply, milliseconds. */
   readonly timeoutMs: number;
-  /** Sees the outcome of each statement once, however many wait for it. */
+  /** Called once with the result of each statement, however many callers wait for it. */
   readonly onResult: (result: ControlResult) => void;
-  /** Counts bytes sent and received. */
+  /** Called with the number of bytes that a statement and its reply took. */
   readonly onBytes: (bytes: number) => void;
 }
 
@@ -37,7 +37,7 @@
   readonly waiters: ((result: ControlResult) => void)[];
 }
 
-/** Serial control connection. */
+/** Control connection that runs one statement at a time. */
 export class UpstreamControl {
   private connection: UpstreamConnection | undefined;
   private readonly jobs: Job[] = [];
@@ -50,12 +50,12 @@
     return this.options.spec;
   }
 
-  /** Asks for a status that is sent after this call; callers that wait already share it. */
+  /** Requests a status that is sent after this call; callers that are already waiting share the reply. */
   status(): Promise<ControlResult> {
     return this.run(STATUS_SQL);
   }
 
-  /** Runs a control statement that answers with a status row. */
+  /** Runs a control statement that returns a status row. */
   run(sql: string): Promise<ControlResult> {
     return new Promise((resolve) => {
       const queued = this.jobs.find((job) => job.sql === sql);
@@ -65,7 +65,7 @@
     });
   }
 
-  /** Closes the connection; later statements connect anew. */
+  /** Closes the connection; later statements fail. */
   close(): void {
     this.closed = true;
     this.connection?.close();
@@ -85,29 +85,31 @@
   }
 
   private async perform(sql: string): Promise<ControlResult> {
-    if (this.closed) return err(this.fail('control connection is closed'));
-    const connection = await this.connected();
+    if (this.closed) return err(this.createError('control connection is closed'));
+    const connection = await this.ensureConnected();
     if (connection.isErr()) return err(connection.error);
     const bytesBefore = connection.value.bytes;
     const sentAt = performance.now();
     const { timeoutMs } = this.options;
     const answer = await connection.value.exchange(serialize.query(sql), 1, timeoutMs);
     this.options.onBytes(connection.value.bytes - bytesBefore);
-    if (answer.isErr()) return err(this.fail(`no answer to a control statement: ${answer.error}`));
+    if (answer.isErr())
+      return err(this.createError(`no reply to control statement: ${answer.error}`));
     const [segment] = answer.value;
-    if (segment === undefined) return err(this.fail('empty answer'));
-    return this.read(segment, sentAt);
+    if (segment === undefined) return err(this.createError('empty reply'));
+    return this.parseReply(segment, sentAt);
   }
 
-  private read(segment: AnswerSegment, sentAt: number): ControlResult {
+  private parseReply(segment: AnswerSegment, sentAt: number): ControlResult {
     const state = errorStateOf(segment);
-    if (state !== undefined) return err(this.fail(`control statement refused with ${state}`));
+    if (state !== undefined)
+      return err(this.createError(`control statement failed with SQLSTATE ${state}`));
     const report = decodeStatus(this.spec.id, firstRowOf(segment)?.[0] ?? '');
-    if (report.isErr()) return err(this.fail(`status is not valid: ${report.error}`));
+    if (report.isErr()) return err(this.createError(`invalid status: ${report.error}`));
     return ok({ report: report.value, sentAt, at: performance.now() });
   }
 
-  private async connected(): Promise<Result<UpstreamConnection, GladespoolError>> {
+  private async ensureConnected(): Promise<Result<UpstreamConnection, GladespoolError>> {
     if (this.connection?.usable === true) return ok(this.connection);
     const { spec, database, timeoutMs } = this.options;
     const access: UpstreamAccess = {
@@ -120,7 +122,7 @@
     return result;
   }
 
-  private fail(message: string): GladespoolError {
+  private createError(message: string): GladespoolError {
     const peer = `${this.spec.address}:${this.spec.port}`;
     return gladespoolError({ step: Step.UpstreamStatus, peer }, message);
   }
