--- a/packages/operator/src/bundle-diff.ts
+++ b/packages/operator/src/bundle-diff.ts
@@ -1,38 +1,38 @@
 /**
- * What a bundle changes, for review before it is signed.
+ * Differences between two bundles, for review before signing.
  */
 import type { GroupSpec } from '@gladespool/coordination';
 import type { Bundle } from '@gladespool/protocol';
 
-/** One difference. */
+/** Difference in one named entry. */
 export interface BundleChange {
-  /** What changed, such as `group.ledger1` or `operator.alice`. */
+  /** Name of the entry, for example `group.ledger1` or `operator.alice`. */
   readonly what: string;
-  /** Value before; undefined when it is new. */
+  /** Previous value; undefined if the entry was added. */
   readonly before: string | undefined;
-  /** Value after; undefined when it is removed. */
+  /** New value; undefined if the entry was removed. */
   readonly after: string | undefined;
 }
 
-/** Differences from one bundle to another, by name. */
+/** Returns the differences between two bundles, sorted by name. */
 export function diffBundles(before: Bundle | undefined, after: Bundle): readonly BundleChange[] {
-  const old = before === undefined ? new Map<string, string>() : facts(before);
-  const fresh = facts(after);
-  const names = [...new Set([...old.keys(), ...fresh.keys()])].sort();
+  const previous = before === undefined ? new Map<string, string>() : entriesOf(before);
+  const current = entriesOf(after);
+  const names = [...new Set([...previous.keys(), ...current.keys()])].sort();
   return names
-    .map((what) => ({ what, before: old.get(what), after: fresh.get(what) }))
+    .map((what) => ({ what, before: previous.get(what), after: current.get(what) }))
     .filter((change) => change.before !== change.after);
 }
 
-function facts(bundle: Bundle): Map<string, string> {
-  const found = new Map<string, string>([['bundle.threshold', String(bundle.threshold)]]);
+function entriesOf(bundle: Bundle): Map<string, string> {
+  const entries = new Map<string, string>([['bundle.threshold', String(bundle.threshold)]]);
   for (const { name, key } of bundle.operators)
-    found.set(`operator.${name}`, key.toString('base64'));
-  for (const group of bundle.groups) addGroup(found, group);
-  return found;
+    entries.set(`operator.${name}`, key.toString('base64'));
+  for (const group of bundle.groups) addGroup(entries, group);
+  return entries;
 }
 
-function addGroup(found: Map<string, string>, group: GroupSpec): void {
+function addGroup(entries: Map<string, string>, group: GroupSpec): void {
   const { connectionsPerUpstream, defaultMaxAgeMs, acknowledgement, sessionGuarantee } = group;
   const rules = [
     `connections_per_upstream=${connectionsPerUpstream}`,
@@ -40,8 +40,8 @@
     `acknowledgement=${acknowledgement}`,
     `session=${sessionGuarantee}`,
   ];
-  found.set(`group.${group.id}`, rules.join(' '));
+  entries.set(`group.${group.id}`, rules.join(' '));
   for (const { id, az, address, port, state } of group.upstreams) {
-    found.set(`upstream.${group.id}.${id}`, `${az} ${address}:${port} ${state}`);
+    entries.set(`upstream.${group.id}.${id}`, `${az} ${address}:${port} ${state}`);
   }
 }
--- a/packages/operator/src/bundle-file.ts
+++ b/packages/operator/src/bundle-file.ts
@@ -1,5 +1,5 @@
 /**
- * A bundle as operators keep it: an INI file whose last section holds the signatures.
+ * Bundle files of operators: INI files whose last section holds the signatures.
  */
 import { readFile, writeFile } from 'node:fs/promises';
 import type { GladespoolError } from '@gladespool/coordination';
@@ -10,7 +10,7 @@
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 
-/** A file that could be read and is valid. */
+/** Contents of a valid bundle file. */
 export interface BundleFile {
   readonly path: string;
   readonly text: string;
@@ -18,26 +18,29 @@
   readonly signatures: readonly BundleSignature[];
 }
 
-/** Why a file can't be used. */
+/** Reason why a bundle file cannot be used. */
 export type BundleFileFault =
   | { readonly kind: 'unreadable'; readonly error: GladespoolError }
   | { readonly kind: 'invalid'; readonly faults: readonly ConfigFault[] };
 
-/** Reads and checks a bundle file. */
+/** Reads and validates a bundle file. */
 export async function loadBundleFile(path: string): Promise<Result<BundleFile, BundleFileFault>> {
   let text: string;
   try {
     text = await readFile(path, 'utf8');
   } catch (cause) {
-    const place = { step: Step.Bundle, peer: path };
-    return err({ kind: 'unreadable', error: gladespoolError(place, 'cannot be read', { cause }) });
+    const context = { step: Step.Bundle, peer: path };
+    return err({
+      kind: 'unreadable',
+      error: gladespoolError(context, 'cannot be read', { cause }),
+    });
   }
   const bundle = readBundle(path, text);
   if (bundle.isErr()) return err({ kind: 'invalid', faults: bundle.error });
-  return ok({ path, text, bundle: bundle.value, signatures: signaturesIn(text) });
+  return ok({ path, text, bundle: bundle.value, signatures: parseSignatures(text) });
 }
 
-/** Writes a bundle file with one more signature; the rest of the file stays as it is. */
+/** Adds a signature to a bundle file or replaces that operator's signature; the rest of the file is unchanged. */
 export async function saveSignature(file: BundleFile, added: BundleSignature): Promise<void> {
   const others = file.signatures.filter((entry) => entry.operator !== added.operator);
   const signatures = Object.fromEntries(
@@ -47,7 +50,7 @@
   await writeFile(file.path, `${body}\n\n${stringify({ signatures })}`);
 }
 
-function signaturesIn(text: string): readonly BundleSignature[] {
+function parseSignatures(text: string): readonly BundleSignature[] {
   const section = (parse(text) as Readonly<Record<string, unknown>>).signatures;
   if (typeof section !== 'object' || section === null) return [];
   return Object.entries(section).map(([operator, signature]) => ({
--- a/packages/operator/src/commands/bundle-commands.ts
+++ b/packages/operator/src/commands/bundle-commands.ts
@@ -1,5 +1,5 @@
 /**
- * `gladespoolctl bundle check|diff|sign|publish|status`.
+ * The commands `gladespoolctl bundle check|diff|sign|publish|status`.
  */
 import { createHash } from 'node:crypto';
 import { readFile } from 'node:fs/promises';
@@ -13,7 +13,7 @@
 import { ExitCode } from './exit-code.js';
 import { OperatorCommand, StoreCommand } from './operator-command.js';
 
-/** Checks a bundle file. */
+/** Validates a bundle file. */
 export class BundleCheckCommand extends OperatorCommand {
   static override paths = [['bundle', 'check']];
 
@@ -35,7 +35,7 @@
   }
 }
 
-/** Shows what a bundle changes against the store's. */
+/** Prints the differences between a bundle file and the bundle in the store. */
 export class BundleDiffCommand extends StoreCommand {
   static override paths = [['bundle', 'diff']];
 
@@ -53,7 +53,7 @@
     const stored = await readStoredBundle(store);
     await store.close();
     if (stored.isErr()) {
-      this.complain(stored.error.message);
+      this.printError(stored.error.message);
       return ExitCode.StoreFailed;
     }
     const present = stored.value?.bundle;
@@ -63,7 +63,7 @@
   }
 }
 
-/** Signs a bundle file. */
+/** Adds an operator's signature to a bundle file. */
 export class BundleSignCommand extends OperatorCommand {
   static override paths = [['bundle', 'sign']];
 
@@ -84,7 +84,7 @@
       const pem = await readFile(this.key, 'utf8');
       await saveSignature(file, signManifest(manifest, this.operator, pem));
     } catch (error) {
-      this.complain(`${this.key}: ${error instanceof Error ? error.message : String(error)}`);
+      this.printError(`${this.key}: ${error instanceof Error ? error.message : String(error)}`);
       return ExitCode.BadInput;
     }
     this.print('bundle-signed', { file: this.file, operator: this.operator });
@@ -92,7 +92,7 @@
   }
 }
 
-/** Publishes a signed bundle. */
+/** Publishes a signed bundle file to the store. */
 export class BundlePublishCommand extends StoreCommand {
   static override paths = [['bundle', 'publish']];
 
@@ -123,31 +123,31 @@
   ): Promise<number> {
     const stored = await readStoredBundle(store);
     if (stored.isErr()) {
-      this.complain(stored.error.message);
+      this.printError(stored.error.message);
       return ExitCode.StoreFailed;
     }
     const { manifest } = splitBundle(file.bundle);
     const change = changeId(manifest, file);
-    const repeated = stored.value?.head.change === change;
-    const trust = stored.value?.bundle ?? file.bundle;
-    const signers = validSigners(manifest, file.signatures, trust);
-    if (signers.length < trust.threshold && !repeated) {
-      const have = signers.join(', ') || 'none';
-      this.complain(
-        `refused: ${trust.threshold} valid signatures needed by version ${versionOf(stored.value?.head)}, have ${have}`,
+    const isRepeated = stored.value?.head.change === change;
+    const bundleInForce = stored.value?.bundle ?? file.bundle;
+    const signers = validSigners(manifest, file.signatures, bundleInForce);
+    if (signers.length < bundleInForce.threshold && !isRepeated) {
+      const validSignerNames = signers.join(', ') || 'none';
+      this.printError(
+        `refused: ${bundleInForce.threshold} valid signatures needed by version ${versionOf(stored.value?.head)}, have ${validSignerNames}`,
       );
       return ExitCode.Refused;
     }
     const { bundle, signatures } = file;
     const outcome = await publishBundle(store, { bundle, signatures, change });
     if (outcome.isErr()) {
-      this.complain(outcome.error.message);
+      this.printError(outcome.error.message);
       return ExitCode.StoreFailed;
     }
     if (outcome.value.kind === 'refused') {
-      const { present, change: winner } = outcome.value;
-      this.complain(
-        `refused: made from version ${bundle.base}, the store holds ${present} (change ${winner}); rebase on it`,
+      const { present, change: presentChange } = outcome.value;
+      this.printError(
+        `refused: made from version ${bundle.base}, the store holds ${present} (change ${presentChange}); rebase on it`,
       );
       return ExitCode.Refused;
     }
@@ -156,7 +156,7 @@
   }
 }
 
-/** Shows the versions in force. */
+/** Prints the version in the store and the version in force in each availability zone. */
 export class BundleStatusCommand extends StoreCommand {
   static override paths = [['bundle', 'status']];
 
@@ -175,7 +175,7 @@
     const zones = await readZoneStatuses(store);
     await store.close();
     if (stored.isErr() || zones.isErr()) {
-      this.complain('the store does not answer');
+      this.printError('the store does not answer');
       return ExitCode.StoreFailed;
     }
     const version = versionOf(stored.value?.head);
@@ -184,14 +184,14 @@
       const lagging = zone.lagging.join(',');
       this.print('zone', { az: zone.az, version: zone.version, hosts: zone.hosts, lagging });
     }
-    const current = zones.value.every(
+    const isCurrent = zones.value.every(
       (zone) => zone.version === version && zone.lagging.length === 0,
     );
-    return current ? ExitCode.Ok : ExitCode.Refused;
+    return isCurrent ? ExitCode.Ok : ExitCode.Refused;
   }
 }
 
-/** Id of a publishing: the same signed file gives the same id, so that repeating it is safe. */
+/** Returns the id of a publication; the same signed file yields the same id, which makes a retry safe. */
 function changeId(manifest: string, file: BundleFile): string {
   const hash = createHash('sha256').update(manifest);
   for (const { operator, signature } of file.signatures) hash.update(operator).update(signature);
--- a/packages/operator/src/commands/keys-new-command.ts
+++ b/packages/operator/src/commands/keys-new-command.ts
@@ -1,5 +1,5 @@
 /**
- * `gladespoolctl keys new NAME`: a key pair of an operator.
+ * The command `gladespoolctl keys new NAME`, which creates a key pair for an operator.
  */
 import { writeFile } from 'node:fs/promises';
 import { createOperatorKeys } from '@gladespool/protocol';
@@ -26,7 +26,7 @@
     try {
       await writeFile(file, keys.privateKey, { mode: OWNER_ONLY, flag: 'wx' });
     } catch (error) {
-      this.complain(`${file}: ${error instanceof Error ? error.message : String(error)}`);
+      this.printError(`${file}: ${error instanceof Error ? error.message : String(error)}`);
       return ExitCode.BadInput;
     }
     const key = keys.publicKey.toString('base64');
--- a/packages/operator/src/main.ts
+++ b/packages/operator/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The `gladespoolctl` command.
+ * Entry point of the `gladespoolctl` command.
  */
 import { exitOnClosedPipe } from '@gladespool/observability';
 import { Builtins, Cli } from 'clipanion';
--- a/packages/operator/src/publish-bundle.ts
+++ b/packages/operator/src/publish-bundle.ts
@@ -1,6 +1,6 @@
 /**
- * Publishes a signed bundle: parts first, addressed by content, then the head by compare-and-swap
- * from the version that the bundle was made from.
+ * Publishes a signed bundle: first its parts, keyed by content hash, then the head with a
+ * compare-and-swap against the version that the bundle is based on.
  */
 import type { GladespoolError } from '@gladespool/coordination';
 import { gladespoolError, Step } from '@gladespool/coordination';
@@ -24,41 +24,45 @@
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 
-/** A bundle ready to be published. */
+/** Signed bundle to publish. */
 export interface Publication {
   readonly bundle: Bundle;
   readonly signatures: readonly BundleSignature[];
-  /** Unique id of this publishing. */
+  /** Unique id of this publication; repeating the same publication uses the same id. */
   readonly change: string;
 }
 
-/** Why a bundle was not published; nothing was changed. */
+/** Reason why a bundle was rejected without any change to the version in force. */
 export enum PublishRefusal {
-  /** Another bundle came first. */
+  /** The store holds a different version than the bundle is based on. */
   StaleBase = 'stale-base',
-  /** Not enough valid signatures for the bundle in force. */
+  /** Fewer valid signatures than the bundle in force requires. */
   Unauthorized = 'unauthorized',
 }
 
-/** Outcome of a publishing whose result is certain. */
+/** Outcome of a publication, if it is known. */
 export type PublishOutcome =
   | { readonly kind: 'published'; readonly version: number }
   | {
       readonly kind: 'refused';
       readonly reason: PublishRefusal;
-      /** Version in the store. */
+      /** Version that the store holds. */
       readonly present: number;
-      /** Change id of the version in the store. */
+      /** Change id of the version that the store holds. */
       readonly change: string;
     };
 
-/** Longest texts that travel inside the head; the store takes values of 1 MB. */
-const MOST_FRESH_LENGTH = 256 * 1024;
-const PLACE = { step: Step.Bundle, peer: 'store' };
-const READ_BACK_TRIES = 5;
+/** Maximum total length of part texts embedded in the head; the store accepts values of up to 1 MB. */
+const MAX_FRESH_LENGTH = 256 * 1024;
+const CONTEXT = { step: Step.Bundle, peer: 'store' };
+const READ_BACK_ATTEMPTS = 5;
 const READ_BACK_PAUSE_MS = 200;
 
-/** Publishes; an error means that the store did not answer and the outcome could not be read back. */
+/**
+ * Publishes a bundle.
+ *
+ * @returns an error if the store did not answer and the outcome could not be read back
+ */
 export async function publishBundle(
   store: PlatformStore,
   publication: Publication,
@@ -67,17 +71,17 @@
   if (read.isErr()) return err(read.error);
   const present = read.value;
   const held = present === undefined ? undefined : decodeHead(present.value);
-  if (held?.change === publication.change) return ok(published(publication));
+  if (held?.change === publication.change) return ok(publishedOutcome(publication));
   const version = versionOf(held);
-  if (version !== publication.bundle.base) return ok(stale(held));
+  if (version !== publication.bundle.base) return ok(staleOutcome(held));
   const parts = await putParts(store, publication.bundle);
   if (parts.isErr()) return err(parts.error);
-  const head = await headOf(store, publication, held);
+  const head = await createHead(store, publication, held);
   if (head.isErr()) return err(head.error);
   return swapHead(store, publication, head.value, present);
 }
 
-/** Version of a head; 0 when there is none. */
+/** Returns the version of a head; 0 if there is none. */
 export function versionOf(head: BundleHead | undefined): number {
   return head === undefined ? 0 : (readManifest(head.manifest)?.version ?? 0);
 }
@@ -94,28 +98,31 @@
     expected: present?.revision ?? 0,
   };
   const swapped = await store.swap([swap]);
-  if (swapped.isOk() && swapped.value === SwapOutcome.Swapped) return ok(published(publication));
+  if (swapped.isOk() && swapped.value === SwapOutcome.Swapped)
+    return ok(publishedOutcome(publication));
   return readBack(store, publication);
 }
 
-/** Settles a conflict or a lost reply by what the store holds. */
+/** Determines the outcome after a conflict or a lost reply by reading the head from the store. */
 async function readBack(
   store: PlatformStore,
   publication: Publication,
 ): Promise<Result<PublishOutcome, GladespoolError>> {
-  for (let attempt = 0; attempt < READ_BACK_TRIES; attempt += 1) {
+  for (let attempt = 0; attempt < READ_BACK_ATTEMPTS; attempt += 1) {
     const read = await store.read(BUNDLE_HEAD_KEY);
     if (read.isOk()) {
       const head = read.value === undefined ? undefined : decodeHead(read.value.value);
-      const mine = head?.change === publication.change;
-      if (mine) return ok(published(publication));
-      if (versionOf(head) >= publication.bundle.version) return ok(stale(head));
-      return err(gladespoolError(PLACE, 'the store did not take the bundle; nothing was changed'));
+      const isOwn = head?.change === publication.change;
+      if (isOwn) return ok(publishedOutcome(publication));
+      if (versionOf(head) >= publication.bundle.version) return ok(staleOutcome(head));
+      return err(
+        gladespoolError(CONTEXT, 'the store did not accept the bundle; nothing was changed'),
+      );
     }
     await new Promise((resolve) => setTimeout(resolve, READ_BACK_PAUSE_MS));
   }
-  const message = 'reply lost and the store can not be read: run publish again with the same file';
-  return err(gladespoolError(PLACE, message));
+  const message = 'reply lost and the store cannot be read: run publish again with the same file';
+  return err(gladespoolError(CONTEXT, message));
 }
 
 async function putParts(
@@ -134,7 +141,7 @@
   return ok(undefined);
 }
 
-async function headOf(
+async function createHead(
   store: PlatformStore,
   publication: Publication,
   held: BundleHead | undefined,
@@ -150,20 +157,20 @@
     signatures,
     change: publication.change,
     chain: [...links],
-    fresh: freshTexts(parts, held),
+    fresh: missingTexts(parts, held),
   }));
 }
 
-/** Texts of the parts that `held` lacks; none when they would make the head too large. */
-function freshTexts(parts: readonly BundlePart[], held: BundleHead | undefined): string[] {
+/** Returns the texts of the parts that `held` does not list; none if they exceed the size limit of the head. */
+function missingTexts(parts: readonly BundlePart[], held: BundleHead | undefined): string[] {
   const known = held === undefined ? undefined : readManifest(held.manifest);
   const hashes = new Set(known?.parts.map((part) => part.hash));
   const texts = parts.filter((part) => !hashes.has(part.hash)).map((part) => part.text);
   const length = texts.reduce((sum, text) => sum + text.length, 0);
-  return length <= MOST_FRESH_LENGTH ? texts : [];
+  return length <= MAX_FRESH_LENGTH ? texts : [];
 }
 
-/** Chain with the present head added when its operators differ from those before. */
+/** Returns the chain of heads, with the current head appended if its operators differ from the last entry's. */
 async function chainAfter(
   store: PlatformStore,
   held: BundleHead | undefined,
@@ -179,7 +186,7 @@
   return ok([...held.chain, { manifest, signatures, core: text }]);
 }
 
-/** The part of a core text that names operators and threshold, without version numbers. */
+/** Returns a core text without its version numbers, which leaves the operators and the threshold. */
 function operatorsOf(core: string): string {
   return core
     .split('\n')
@@ -187,11 +194,11 @@
     .join('\n');
 }
 
-function published(publication: Publication): PublishOutcome {
+function publishedOutcome(publication: Publication): PublishOutcome {
   return { kind: 'published', version: publication.bundle.version };
 }
 
-function stale(head: BundleHead | undefined): PublishOutcome {
+function staleOutcome(head: BundleHead | undefined): PublishOutcome {
   return {
     kind: 'refused',
     reason: PublishRefusal.StaleBase,
--- a/packages/operator/src/read-store.ts
+++ b/packages/operator/src/read-store.ts
@@ -1,5 +1,5 @@
 /**
- * Reads what the platform's store holds of the bundle and of the zones' reports.
+ * Reads the published bundle and the status reports of availability zones from the platform's store.
  */
 import type { GladespoolError } from '@gladespool/coordination';
 import type { PlatformStore } from '@gladespool/platform';
@@ -17,13 +17,13 @@
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 
-/** The bundle in the store. */
+/** Bundle in the store with its head. */
 export interface StoredBundle {
   readonly head: BundleHead;
   readonly bundle: Bundle;
 }
 
-/** Reads the bundle in the store; undefined when there is none or it is damaged. */
+/** Reads the bundle in the store; undefined if there is none or it is corrupt. */
 export async function readStoredBundle(
   store: PlatformStore,
 ): Promise<Result<StoredBundle | undefined, GladespoolError>> {
@@ -42,7 +42,7 @@
   return ok(bundle.isOk() ? { head, bundle: bundle.value } : undefined);
 }
 
-/** Reads the reports of all zones. */
+/** Reads the status reports of all availability zones; skips reports that cannot be decoded. */
 export async function readZoneStatuses(
   store: PlatformStore,
 ): Promise<Result<readonly ZoneStatus[], GladespoolError>> {
