--- a/packages/platform/src/dialed-agent.ts
+++ b/packages/platform/src/dialed-agent.ts
@@ -1,5 +1,5 @@
 /**
- * HTTP agent whose connections come from a given dialer, so that tests can put faults on them.
+ * HTTP agent that opens its connections with a given function, so that tests can inject faults.
  */
 import type { Socket } from 'node:net';
 import { Agent } from 'undici';
@@ -7,24 +7,23 @@
 /** Opens a connection to an address and port. */
 export type Dial = (port: number, address: string) => Socket;
 
-/** Where and how an agent connects. */
+/** Options of an agent. */
 export interface DialedAgentOptions {
   readonly address: string;
   readonly port: number;
   readonly connections: number;
-  /** Longest time to connect, milliseconds; a request can't be given up while its socket connects. */
+  /** Connect timeout, milliseconds; needed because a request cannot be aborted while its socket connects. */
   readonly timeoutMs: number;
   readonly dial: Dial;
 }
 
-/** Creates the agent. */
 export function dialedAgent(options: DialedAgentOptions): Agent {
   return new Agent({
     connections: options.connections,
     connect: (_options, callback) => {
       const socket = options.dial(options.port, options.address);
       const timer = setTimeout(() => {
-        socket.destroy(new Error(`no connection within ${options.timeoutMs} ms`));
+        socket.destroy(new Error(`connect timed out after ${options.timeoutMs} ms`));
       }, options.timeoutMs);
       socket.once('connect', () => {
         clearTimeout(timer);
--- a/packages/platform/src/host-list.ts
+++ b/packages/platform/src/host-list.ts
@@ -1,6 +1,6 @@
 /**
- * Client of the platform's list of hosts. The list lags behind reality: it is a hint where peers
- * may be found, never evidence that one lives.
+ * Client of the platform's host list. The list is updated with a delay: it hints at where peers may
+ * be found, but is no evidence that a host is alive.
  */
 import type { AzId, GladespoolError, HostId } from '@gladespool/coordination';
 import { azId, gladespoolError, hostId, Step } from '@gladespool/coordination';
@@ -13,22 +13,22 @@
 import { dialedAgent } from './dialed-agent.js';
 import { timeLimited } from './time-limited.js';
 
-/** A host as the platform lists it. */
+/** Entry of the platform's host list. */
 export interface ListedHost {
   readonly host: HostId;
   readonly az: AzId;
   readonly address: string;
-  /** Port for links between hosts. */
+  /** Port for connections from other hosts. */
   readonly port: number;
   readonly leaving: boolean;
 }
 
-/** What the proxy needs of the platform's host list. */
+/** Source of the platform's host list. */
 export interface HostList {
   list(): Promise<Result<readonly ListedHost[], GladespoolError>>;
 }
 
-/** Schema of `GET /v1/hosts`. */
+/** Schema of the response to `GET /v1/hosts`. */
 export const hostListSchema = z.object({
   hosts: z.array(
     z.object({
@@ -49,7 +49,7 @@
   readonly dial: Dial;
 }
 
-/** Host list over HTTP/JSON. */
+/** Host list client over HTTP and JSON. */
 export class HttpHostList implements HostList {
   private readonly agent: Agent;
 
@@ -60,16 +60,16 @@
   async list(): Promise<Result<readonly ListedHost[], GladespoolError>> {
     const { address, port, timeoutMs } = this.options;
     try {
-      const answer = await timeLimited(timeoutMs, async (signal) => {
-        const res = await request(`http://${address}:${port}/v1/hosts`, {
+      const response = await timeLimited(timeoutMs, async (signal) => {
+        const httpResponse = await request(`http://${address}:${port}/v1/hosts`, {
           dispatcher: this.agent,
           signal,
         });
-        return res.body.json();
+        return httpResponse.body.json();
       });
-      const listed = hostListSchema.parse(answer);
+      const hostList = hostListSchema.parse(response);
       return ok(
-        listed.hosts.map((entry) => ({
+        hostList.hosts.map((entry) => ({
           host: hostId(entry.host),
           az: azId(entry.az),
           address: entry.address,
@@ -78,8 +78,8 @@
         })),
       );
     } catch (cause) {
-      const place = { step: Step.HostList, peer: `${address}:${port}` };
-      return err(gladespoolError(place, 'host list could not be read', { cause }));
+      const context = { step: Step.HostList, peer: `${address}:${port}` };
+      return err(gladespoolError(context, 'host list could not be read', { cause }));
     }
   }
 
--- a/packages/platform/src/store-client.ts
+++ b/packages/platform/src/store-client.ts
@@ -1,5 +1,5 @@
 /**
- * Client of the platform's key-value store: reads, compare-and-swap and watches over HTTP/JSON.
+ * Client of the platform's key-value store: reads, compare-and-swap and watches over HTTP and JSON.
  */
 import type { GladespoolError } from '@gladespool/coordination';
 import { gladespoolError, Step } from '@gladespool/coordination';
@@ -21,45 +21,45 @@
 } from './store-schema.js';
 import { timeLimited } from './time-limited.js';
 
-/** A value with the revision that last changed it. */
+/** Key and value with the revision of their last change. */
 export interface StoredValue {
   readonly key: string;
   readonly value: string;
-  /** Store revision of the last change; 0 stands for "does not exist" in a compare-and-swap. */
+  /** Store revision of the last change; in a compare-and-swap, 0 means that the key does not exist. */
   readonly revision: number;
 }
 
-/** Outcome of a compare-and-swap whose reply arrived. */
+/** Outcome of a compare-and-swap whose reply was received. */
 export enum SwapOutcome {
   Swapped = 'swapped',
-  /** The key was changed by another since it was read. */
+  /** Another client changed a key after it was read; nothing was written. */
   Conflict = 'conflict',
 }
 
-/** One key's change in a compare-and-swap. */
+/** Change of one key in a compare-and-swap. */
 export interface Swap {
   readonly key: string;
   readonly value: string;
-  /** Revision read before; 0 when the key must not exist. */
+  /** Revision that the key must have; 0 if the key must not exist. */
   readonly expected: number;
 }
 
 /** Receives the events of a watch. */
 export interface WatchListener {
-  /** The watch stands; `revision` is the store's. */
+  /** Called when the watch is established; `revision` is the store's current revision. */
   onOpen(revision: number): void;
   onValue(value: StoredValue): void;
-  /** The watch ended and must be opened anew. */
+  /** Called when the watch has ended; the caller has to open a new one. */
   onEnd(error: GladespoolError): void;
 }
 
-/** What the proxy needs of the platform's store. */
+/** The platform's key-value store. */
 export interface PlatformStore {
   read(key: string): Promise<Result<StoredValue | undefined, GladespoolError>>;
   readPrefix(prefix: string): Promise<Result<readonly StoredValue[], GladespoolError>>;
-  /** Swaps all keys or none. An error leaves open whether the swap took effect: read back. */
+  /** Swaps all keys or none. After an error the outcome is unknown: read the keys to determine it. */
   swap(swaps: readonly Swap[]): Promise<Result<SwapOutcome, GladespoolError>>;
-  /** Watches a prefix until the returned function is called. */
+  /** Watches a prefix; the returned function ends the watch. */
   watch(prefix: string, listener: WatchListener): () => void;
   close(): Promise<void>;
 }
@@ -68,14 +68,14 @@
 export interface StoreClientOptions {
   readonly address: string;
   readonly port: number;
-  /** Longest wait for an answer, milliseconds. */
+  /** Timeout for a response, milliseconds. */
   readonly timeoutMs: number;
-  /** Creates connections; lets tests put faults on them. */
+  /** Opens connections; tests use it to inject faults. */
   readonly dial: Dial;
 }
 
 const HTTP_OK = 200;
-/** Two of them are held by a relay's watches. */
+/** Maximum number of connections; the watches of a relay occupy two of them. */
 const STORE_CONNECTIONS = 8;
 
 /** Store client over the etcd v3 JSON mapping. */
@@ -109,8 +109,8 @@
         request_put: { key: toBase64(swap.key), value: toBase64(swap.value) },
       })),
     };
-    const answer = await this.post('/v3/kv/txn', body, txnResponseSchema, Step.StoreWrite);
-    return answer.map((txn) =>
+    const response = await this.post('/v3/kv/txn', body, txnResponseSchema, Step.StoreWrite);
+    return response.map((txn) =>
       txn.succeeded === true ? SwapOutcome.Swapped : SwapOutcome.Conflict,
     );
   }
@@ -128,8 +128,8 @@
   }
 
   private async range(body: object): Promise<Result<readonly StoredValue[], GladespoolError>> {
-    const answer = await this.post('/v3/kv/range', body, rangeResponseSchema, Step.StoreRead);
-    return answer.map((range) => (range.kvs ?? []).map(storedValueOf));
+    const response = await this.post('/v3/kv/range', body, rangeResponseSchema, Step.StoreRead);
+    return response.map((range) => (range.kvs ?? []).map(storedValueOf));
   }
 
   private async post<Schema extends z.ZodType>(
@@ -148,12 +148,12 @@
         });
         return { statusCode: res.statusCode, text: await res.body.text() };
       });
-      if (statusCode !== HTTP_OK) return err(this.fail(step, `status ${statusCode}`));
+      if (statusCode !== HTTP_OK) return err(this.createError(step, `status ${statusCode}`));
       const parsed = schema.safeParse(JSON.parse(text));
-      if (!parsed.success) return err(this.fail(step, z.prettifyError(parsed.error)));
+      if (!parsed.success) return err(this.createError(step, z.prettifyError(parsed.error)));
       return ok(parsed.data);
     } catch (cause) {
-      return err(this.fail(step, 'store did not answer', cause));
+      return err(this.createError(step, 'store did not answer', cause));
     }
   }
 
@@ -179,22 +179,22 @@
       throw new Error('stream ended');
     } catch (cause) {
       if (!abort.signal.aborted) {
-        listener.onEnd(this.fail(Step.StoreWatch, 'watch ended', cause));
+        listener.onEnd(this.createError(Step.StoreWatch, 'watch ended', cause));
       }
     }
   }
 
   private async readWatch(body: AsyncIterable<Buffer>, listener: WatchListener): Promise<void> {
-    let held = '';
+    let buffered = '';
     for await (const chunk of body) {
-      held += chunk.toString();
-      const lines = held.split('\n');
-      held = lines.pop() ?? '';
-      for (const line of lines) if (line !== '') deliver(line, listener);
+      buffered += chunk.toString();
+      const lines = buffered.split('\n');
+      buffered = lines.pop() ?? '';
+      for (const line of lines) if (line !== '') handleWatchLine(line, listener);
     }
   }
 
-  private fail(step: Step, message: string, cause?: unknown): GladespoolError {
+  private createError(step: Step, message: string, cause?: unknown): GladespoolError {
     const peer = `${this.options.address}:${this.options.port}`;
     return gladespoolError({ step, peer }, message, { cause });
   }
@@ -208,7 +208,7 @@
   };
 }
 
-function deliver(line: string, listener: WatchListener): void {
+function handleWatchLine(line: string, listener: WatchListener): void {
   const { result } = watchResponseSchema.parse(JSON.parse(line));
   if (result.created === true) listener.onOpen(result.header?.revision ?? 0);
   for (const event of result.events ?? []) {
--- a/packages/platform/src/time-limited.ts
+++ b/packages/platform/src/time-limited.ts
@@ -1,16 +1,17 @@
 /**
- * Requests with a time limit that leaves time to read what arrived while this process was paused.
+ * Requests with a timeout that, after a pause of this process, leaves time to read replies that
+ * arrived meanwhile.
  */
 import { TimeLimit } from '@gladespool/protocol';
 
-/** Makes a request whose signal aborts once `timeoutMs` are over. */
+/** Sends a request and aborts its signal after `timeoutMs`. */
 export async function timeLimited<Value>(
   timeoutMs: number,
   send: (signal: AbortSignal) => Promise<Value>,
 ): Promise<Value> {
   const abort = new AbortController();
   const limit = new TimeLimit(timeoutMs, () => {
-    abort.abort(new Error(`no answer within ${timeoutMs} ms`));
+    abort.abort(new Error(`no response within ${timeoutMs} ms`));
   });
   try {
     return await send(abort.signal);
