--- a/packages/standins/src/faults/fault-network.ts
+++ b/packages/standins/src/faults/fault-network.ts
@@ -1,37 +1,37 @@
 /**
- * Faults and latency on connections made inside a test process: a dialer per party whose sockets
- * delay or hold their bytes as set. A held direction loses nothing; bytes go on after healing, as
- * TCP would resend them.
+ * Injects faults and latency into connections made inside a test process: each party gets a dialer
+ * whose sockets delay or hold back bytes. A cut direction loses no bytes; they are delivered after
+ * the link is healed, as with TCP retransmission.
  */
 import { Socket } from 'node:net';
 import type { SocketConnectOpts } from 'node:net';
 
-/** A party on the network: a host, an upstream, the store, or any name in a test. */
+/** Party on the network: a host, an upstream, the store, or any name that a test chooses. */
 export interface Party {
   readonly name: string;
   readonly az: string;
 }
 
-/** Names one direction between two parties or two availability zones; `*` matches all. */
+/** One direction between two parties or two availability zones; `*` matches all. */
 export interface Cut {
   readonly from: string;
   readonly to: string;
 }
 
-/** Latency between two parties, one way, milliseconds. */
+/** Returns the one-way latency between two parties, milliseconds. */
 export type Latency = (from: Party, to: Party) => number;
 
 type Wake = () => void;
 
-/** The network of one test process. */
+/** Simulated network of one test process. */
 export class FaultNetwork {
   private readonly parties = new Map<string, Party>();
   private readonly cuts = new Set<string>();
-  private readonly sleepers = new Set<Wake>();
-  /** Latency in force; replaced by experiments. */
+  private readonly healListeners = new Set<Wake>();
+  /** Latency between parties; experiments replace it. */
   latency: Latency = () => 0;
 
-  /** Declares who listens at an address and port. */
+  /** Registers the party that listens on an address and port. */
   register(address: string, port: number, party: Party): void {
     this.parties.set(`${address}:${port}`, party);
   }
@@ -40,21 +40,21 @@
     return this.parties.get(`${address}:${port}`);
   }
 
-  /** Holds a direction between parties or zones. */
+  /** Holds back all bytes in one direction between parties or zones. */
   cut(cut: Cut): void {
     this.cuts.add(keyOf(cut));
   }
 
-  /** Heals one direction, or all of them. */
+  /** Heals one direction, or all if none is given. */
   heal(cut?: Cut): void {
     if (cut === undefined) this.cuts.clear();
     else this.cuts.delete(keyOf(cut));
-    const sleepers = [...this.sleepers];
-    this.sleepers.clear();
-    for (const wake of sleepers) wake();
+    const listeners = [...this.healListeners];
+    this.healListeners.clear();
+    for (const wake of listeners) wake();
   }
 
-  /** Cuts every link of a zone to other zones, both ways. */
+  /** Cuts the links between a zone and other zones in both directions. */
   isolate(az: string, others: readonly string[]): void {
     for (const other of others) {
       this.cut({ from: az, to: other });
@@ -68,12 +68,12 @@
     return froms.some((a) => tos.some((b) => this.cuts.has(`${a}>${b}`)));
   }
 
-  /** Resolves at the next heal. */
+  /** Calls `wake` once, the next time that any link is healed. */
   healed(wake: Wake): void {
-    this.sleepers.add(wake);
+    this.healListeners.add(wake);
   }
 
-  /** Creates sockets that belong to `party`. */
+  /** Returns a function that opens connections as `party`. */
   dialerFor(party: Party): (port: number, address: string) => Socket {
     return (port, address) => {
       const socket = new FaultSocket(this, party);
@@ -82,7 +82,7 @@
     };
   }
 
-  /** Creates an unconnected socket of `party`, for libraries that connect it themselves. */
+  /** Creates an unconnected socket of `party`, for libraries that connect the socket themselves. */
   socketFor(party: Party): Socket {
     return new FaultSocket(this, party);
   }
@@ -92,36 +92,36 @@
   return `${cut.from}>${cut.to}`;
 }
 
-type Step = () => void;
+type Action = () => void;
 
-/** One direction of a socket: runs steps in order, each after the latency and while not cut. */
-class Lane {
-  private readonly steps: { readonly due: number; readonly run: Step }[] = [];
+/** One direction of a socket: runs actions in order, each after the latency and only while the link is not cut. */
+class DirectionQueue {
+  private readonly actions: { readonly due: number; readonly run: Action }[] = [];
   private waiting = false;
 
   constructor(
     private readonly network: FaultNetwork,
-    private readonly ends: () => readonly [Party, Party] | undefined,
+    private readonly endpoints: () => readonly [Party, Party] | undefined,
   ) {}
 
-  add(run: Step): void {
-    const ends = this.ends();
-    if (ends === undefined) {
+  add(run: Action): void {
+    const endpoints = this.endpoints();
+    if (endpoints === undefined) {
       run();
       return;
     }
-    const delay = this.network.latency(ends[0], ends[1]);
-    const blocked = this.network.isCut(ends[0], ends[1]);
-    if (delay === 0 && !blocked && this.steps.length === 0) {
+    const delay = this.network.latency(endpoints[0], endpoints[1]);
+    const blocked = this.network.isCut(endpoints[0], endpoints[1]);
+    if (delay === 0 && !blocked && this.actions.length === 0) {
       run();
       return;
     }
-    this.steps.push({ due: performance.now() + delay, run });
+    this.actions.push({ due: performance.now() + delay, run });
     this.schedule();
   }
 
   private schedule(): void {
-    const [first] = this.steps;
+    const [first] = this.actions;
     if (this.waiting || first === undefined) return;
     this.waiting = true;
     setTimeout(
@@ -134,8 +134,8 @@
 
   private advance(): void {
     this.waiting = false;
-    const ends = this.ends();
-    if (ends !== undefined && this.network.isCut(ends[0], ends[1])) {
+    const endpoints = this.endpoints();
+    if (endpoints !== undefined && this.network.isCut(endpoints[0], endpoints[1])) {
       this.waiting = true;
       this.network.healed(() => {
         this.advance();
@@ -144,9 +144,9 @@
     }
     const now = performance.now();
     for (;;) {
-      const [first] = this.steps;
+      const [first] = this.actions;
       if (first === undefined || first.due > now) break;
-      this.steps.shift();
+      this.actions.shift();
       first.run();
     }
     this.schedule();
@@ -155,13 +155,13 @@
 
 class FaultSocket extends Socket {
   private peer: Party | undefined;
-  private readonly outgoing: Lane;
-  private readonly incoming: Lane;
+  private readonly outgoing: DirectionQueue;
+  private readonly incoming: DirectionQueue;
 
   constructor(network: FaultNetwork, self: Party) {
     super();
-    this.outgoing = new Lane(network, () => this.peer && [self, this.peer]);
-    this.incoming = new Lane(network, () => this.peer && [this.peer, self]);
+    this.outgoing = new DirectionQueue(network, () => this.peer && [self, this.peer]);
+    this.incoming = new DirectionQueue(network, () => this.peer && [this.peer, self]);
     this.resolvePeer = (port, address) => network.partyAt(address, port);
   }
 
--- a/packages/standins/src/faults/fault-server.ts
+++ b/packages/standins/src/faults/fault-server.ts
@@ -1,6 +1,6 @@
 /**
- * The fault port: HTTP/JSON on loopback by which a person or a test puts faults on the stand-ins.
- * The calls are documented in this package's README.
+ * HTTP/JSON server on loopback through which a person or a test injects faults into the stand-ins.
+ * The README of this package documents the requests.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
@@ -11,27 +11,27 @@
 import type { UpstreamServer } from '../upstream/upstream-server.js';
 import type { FaultNetwork } from './fault-network.js';
 
-/** What faults can be put on. */
+/** Targets into which faults can be injected. */
 export interface FaultTargets {
   readonly network: FaultNetwork;
   readonly store: StoreServer;
   readonly upstreams: readonly { readonly az: string; readonly server: UpstreamServer }[];
-  /** Ends a host as a crash would; false when there is none of that name. */
+  /** Terminates a host as in a crash; false if no host has that name. */
   killHostNamed(name: string): Promise<boolean>;
 }
 
-const link = z.strictObject({ from: z.string(), to: z.string() });
-const named = z.strictObject({ name: z.string() });
-const lag = z.strictObject({ name: z.string(), ms: z.number().min(0).max(3_600_000) });
-const held = z.strictObject({ name: z.string(), held: z.boolean() });
-const storeFault = z.strictObject({
+const linkRequest = z.strictObject({ from: z.string(), to: z.string() });
+const nameRequest = z.strictObject({ name: z.string() });
+const lagRequest = z.strictObject({ name: z.string(), ms: z.number().min(0).max(3_600_000) });
+const replicationRequest = z.strictObject({ name: z.string(), held: z.boolean() });
+const storeRequest = z.strictObject({
   fault: z.enum(StoreFault),
   slow_ms: z.number().min(0).max(60_000).optional(),
 });
 
 const MAX_BODY_BYTES = 10_000;
 
-/** Serves the fault port. */
+/** Server of the fault port. */
 export class FaultServer {
   private readonly server: Server;
 
@@ -71,21 +71,21 @@
   private async apply(url: string, body: unknown): Promise<boolean> {
     switch (url) {
       case '/link/cut':
-        this.targets.network.cut(link.parse(body));
+        this.targets.network.cut(linkRequest.parse(body));
         return true;
       case '/link/heal':
-        this.targets.network.heal(link.optional().parse(body));
+        this.targets.network.heal(linkRequest.optional().parse(body));
         return true;
       case '/store':
-        return this.setStore(storeFault.parse(body));
+        return this.setStore(storeRequest.parse(body));
       case '/host/kill':
-        return this.targets.killHostNamed(named.parse(body).name);
+        return this.targets.killHostNamed(nameRequest.parse(body).name);
       default:
         return this.applyToUpstream(url, body);
     }
   }
 
-  private setStore(fault: z.output<typeof storeFault>): boolean {
+  private setStore(fault: z.output<typeof storeRequest>): boolean {
     if (fault.slow_ms !== undefined) this.targets.store.slowMs = fault.slow_ms;
     this.targets.store.setFault(fault.fault);
     return true;
@@ -110,10 +110,10 @@
         server.setPaused(false);
         return true;
       case '/upstream/lag':
-        server.node.applyLagMs = lag.parse(body).ms;
+        server.node.applyLagMs = lagRequest.parse(body).ms;
         return true;
       case '/upstream/replication':
-        server.node.replicationHeld = held.parse(body).held;
+        server.node.replicationHeld = replicationRequest.parse(body).held;
         return true;
       default:
         return false;
--- a/packages/standins/src/faults/silencing-proxy.ts
+++ b/packages/standins/src/faults/silencing-proxy.ts
@@ -1,11 +1,11 @@
 /**
- * A loopback proxy whose open connections can be made silent: their bytes are dropped from then on, in one
- * direction or both, and neither side is told. Connections opened later work.
+ * Loopback proxy that can make its open connections unresponsive: it drops their bytes from then on, in one
+ * direction or both, without closing them. Connections opened later are not affected.
  */
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { connect, createServer } from 'node:net';
 
-/** Directions in which a connection goes silent, seen from who opened it. */
+/** Directions in which bytes are dropped, from the point of view of the connecting side. */
 export enum Silence {
   Out = 'out',
   Back = 'back',
@@ -22,25 +22,25 @@
     private readonly caller: Socket,
     private readonly target: Socket,
   ) {
-    this.pass(caller, target, Silence.Out);
-    this.pass(target, caller, Silence.Back);
+    this.forward(caller, target, Silence.Out);
+    this.forward(target, caller, Silence.Back);
   }
 
   goSilent(silence: Silence): void {
     this.silence = silence;
   }
 
-  end(): void {
+  close(): void {
     this.caller.destroy();
     this.target.destroy();
   }
 
-  private pass(from: Socket, to: Socket, direction: Silence): void {
+  private forward(from: Socket, to: Socket, direction: Silence): void {
     from.on('data', (chunk: Buffer) => {
       if (!this.isSilent(direction)) to.write(chunk);
     });
     from.on('error', () => undefined);
-    // The other side of a silent connection does not learn of its end either.
+    // A close is not forwarded either in a direction whose bytes are dropped.
     from.on('close', () => {
       if (!this.isSilent(direction)) to.destroy();
     });
@@ -51,7 +51,7 @@
   }
 }
 
-/** Proxy in front of one port. */
+/** Proxy in front of one loopback port. */
 export class SilencingProxy {
   private readonly connections = new Set<ProxiedConnection>();
   private readonly server: Server;
@@ -62,26 +62,26 @@
     });
   }
 
-  /** Port to connect to in place of the target's. */
+  /** Port on which the proxy listens. */
   get port(): number {
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Listens at a free port. */
+  /** Listens on a free port. */
   async listen(): Promise<void> {
     await new Promise<void>((resolve) => {
       this.server.listen(0, LOOPBACK, resolve);
     });
   }
 
-  /** Makes the connections that are open now silent. */
+  /** Drops bytes of the connections that are open now. */
   goSilent(silence: Silence): void {
     for (const connection of this.connections) connection.goSilent(silence);
   }
 
-  /** Ends everything. */
+  /** Closes all connections and stops listening. */
   async stop(): Promise<void> {
-    for (const connection of this.connections) connection.end();
+    for (const connection of this.connections) connection.close();
     await new Promise((resolve) => this.server.close(resolve));
   }
 }
--- a/packages/standins/src/free-port.ts
+++ b/packages/standins/src/free-port.ts
@@ -1,5 +1,5 @@
 /**
- * Ports for servers of a test whose numbers have to be known before they listen.
+ * Allocates ports for test servers whose port numbers must be known before they listen.
  */
 import { once } from 'node:events';
 import type { AddressInfo, Server } from 'node:net';
@@ -7,15 +7,15 @@
 
 const LOOPBACK = '127.0.0.1';
 
-/** A port of a loopback address that was free a moment ago. */
+/** Returns a port of a loopback address that was free at the time of the call. */
 export async function freePort(address = LOOPBACK): Promise<number> {
   const [port = 0] = await freePorts(1, address);
   return port;
 }
 
-/** Different ports of a loopback address that were all free a moment ago. */
+/** Returns distinct ports of a loopback address that were free at the time of the call. */
 export async function freePorts(count: number, address = LOOPBACK): Promise<readonly number[]> {
-  // All are held until the last one is chosen: one that was given back may be given out again.
+  // Keeps all ports bound until the last one is chosen: the system may assign a released port again.
   const servers = await Promise.all(Array.from({ length: count }, () => listen(address)));
   const ports = servers.map((server) => (server.address() as AddressInfo).port);
   await Promise.all(servers.map(close));
--- a/packages/standins/src/loopback-network.ts
+++ b/packages/standins/src/loopback-network.ts
@@ -1,17 +1,17 @@
 /**
- * Loopback addresses for the hosts of one deployment of a test. On the common one, an outgoing connection may take a
- * port that was chosen for a host before the host listens.
+ * Loopback addresses for the hosts of one test deployment. On 127.0.0.1, an outgoing connection could take the port
+ * that was chosen for a host before that host listens on it.
  */
 import { randomInt } from 'node:crypto';
 
-/** Highest value of a byte of an address that is used. */
+/** Highest value used for a byte of an address. */
 const LAST_BYTE = 254;
 
-/** Addresses 127.x.y.1 and so on, with x and y drawn anew. */
+/** Addresses 127.x.y.1, 127.x.y.2 and so on, with random x and y for each instance. */
 export class LoopbackNetwork {
   private readonly prefix = `127.${randomInt(1, LAST_BYTE)}.${randomInt(LAST_BYTE)}`;
 
-  /** Address of the host at an index. */
+  /** Returns the address of the host at an index. */
   address(index: number): string {
     return `${this.prefix}.${index + 1}`;
   }
--- a/packages/standins/src/store/store-server.ts
+++ b/packages/standins/src/store/store-server.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of the platform's store over HTTP: the part of the etcd v3 JSON mapping that the proxy
- * uses, and the host list. Counts each call; a standing watch counts as one.
+ * Stand-in for the platform's store over HTTP: the part of the etcd v3 JSON mapping that the proxy
+ * uses, and the host list. Counts each call; an open watch counts as one.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
@@ -10,18 +10,18 @@
 import type { StoredKey } from './store-state.js';
 import { StoreState } from './store-state.js';
 
-/** Faults of the store. */
+/** Faults that can be injected into the store. */
 export enum StoreFault {
   None = 'none',
-  /** Answers nothing. */
+  /** Closes connections without a response. */
   Down = 'down',
-  /** Answers after {@link StoreServer.slowMs}. */
+  /** Responds after {@link StoreServer.slowMs}. */
   Slow = 'slow',
-  /** Carries out writes, then loses the reply. */
+  /** Executes writes, then drops the response. */
   ReplyLost = 'reply-lost',
 }
 
-/** Calls by kind since the start. */
+/** Number of calls by kind since the start. */
 export interface StoreCalls {
   reads: number;
   writes: number;
@@ -30,15 +30,15 @@
 }
 
 const DEFAULT_SLOW_MS = 2000;
-const text = z.base64().transform((value) => Buffer.from(value, 'base64').toString());
-const rangeRequest = z.object({ key: text, range_end: text.optional() });
+const base64Text = z.base64().transform((value) => Buffer.from(value, 'base64').toString());
+const rangeRequest = z.object({ key: base64Text, range_end: base64Text.optional() });
 const txnRequest = z.object({
-  compare: z.array(z.object({ key: text, mod_revision: z.coerce.number() })),
-  success: z.array(z.object({ request_put: z.object({ key: text, value: z.string() }) })),
+  compare: z.array(z.object({ key: base64Text, mod_revision: z.coerce.number() })),
+  success: z.array(z.object({ request_put: z.object({ key: base64Text, value: z.string() }) })),
 });
 const watchRequest = z.object({ create_request: rangeRequest });
 
-/** A host in the stand-in's list. */
+/** Entry of the stand-in's host list. */
 export interface ListedHostEntry {
   readonly host: string;
   readonly az: string;
@@ -47,26 +47,26 @@
   readonly state: 'live' | 'leaving';
 }
 
-/** The stand-in store. */
+/** Server of the stand-in store. */
 export class StoreServer {
   readonly state = new StoreState();
   readonly calls: StoreCalls = { reads: 0, writes: 0, watches: 0, hostLists: 0 };
   fault = StoreFault.None;
   slowMs = DEFAULT_SLOW_MS;
-  /** Goes down at the end of the next write of a bundle's head, its watch events and reply sent. */
+  /** Sets {@link StoreFault.Down} after the next write of a bundle head, with its watch events and reply sent. */
   refuseReadsAfterHead = false;
-  /** The platform's host list; whoever changes it decides how far it lags. */
+  /** The platform's host list; callers that change it determine its delay. */
   hosts: readonly ListedHostEntry[] = [];
   private server: Server | undefined;
   private readonly watchEnds = new Set<() => void>();
 
   constructor(
     private readonly address: string,
-    private readonly wantedPort: number,
+    private readonly requestedPort: number,
   ) {}
 
   get port(): number {
-    return (this.server?.address() as AddressInfo | null)?.port ?? this.wantedPort;
+    return (this.server?.address() as AddressInfo | null)?.port ?? this.requestedPort;
   }
 
   async listen(): Promise<void> {
@@ -75,7 +75,7 @@
     });
     await new Promise<void>((resolve, reject) => {
       server.once('error', reject);
-      server.listen(this.wantedPort, this.address, resolve);
+      server.listen(this.requestedPort, this.address, resolve);
     });
     this.server = server;
   }
@@ -87,13 +87,13 @@
     await new Promise((resolve) => server.close(resolve));
   }
 
-  /** Sets a fault; going down ends standing watches. */
+  /** Sets the fault; {@link StoreFault.Down} also closes all open watches. */
   setFault(fault: StoreFault): void {
     this.fault = fault;
     if (fault === StoreFault.Down) this.endWatches();
   }
 
-  /** Ends every standing watch, as an idle balancer between would. */
+  /** Closes all open watches, as a load balancer does on idle connections. */
   endWatches(): void {
     for (const end of [...this.watchEnds]) end();
   }
--- a/packages/standins/src/store/store-state.ts
+++ b/packages/standins/src/store/store-state.ts
@@ -2,16 +2,16 @@
  * Keys, revisions and watches of the stand-in store.
  */
 
-/** One key. */
+/** Key with its value and revisions. */
 export interface StoredKey {
   readonly key: string;
-  /** Base64, as it came. */
+  /** Base64, as received. */
   readonly value: string;
   readonly createRevision: number;
   readonly modRevision: number;
 }
 
-/** Receives the changes of a range. */
+/** Callback for the changes in a watched range. */
 export type WatchSink = (changed: StoredKey, revision: number) => void;
 
 interface Watch {
@@ -20,29 +20,29 @@
   readonly sink: WatchSink;
 }
 
-/** One condition of a transaction. */
+/** Condition of a transaction: the key's revision, 0 if the key must not exist. */
 export interface Compare {
   readonly key: string;
   readonly modRevision: number;
 }
 
-/** One write of a transaction. */
+/** Write of a transaction. */
 export interface Put {
   readonly key: string;
   readonly value: string;
 }
 
-/** In-memory store. */
+/** In-memory key-value store. */
 export class StoreState {
   private readonly keys = new Map<string, StoredKey>();
   private readonly watches = new Set<Watch>();
-  private current = 1;
+  private currentRevision = 1;
 
   get revision(): number {
-    return this.current;
+    return this.currentRevision;
   }
 
-  /** Watches that stand. */
+  /** Number of open watches. */
   get watchCount(): number {
     return this.watches.size;
   }
@@ -51,18 +51,18 @@
     return [...this.keys.values()].filter((entry) => inRange(entry.key, start, end));
   }
 
-  /** Writes all of `puts` if every compare holds. */
+  /** Applies all `puts` if every condition holds; returns whether it did. */
   transact(compares: readonly Compare[], puts: readonly Put[]): boolean {
-    const holds = compares.every(
+    const allHold = compares.every(
       (compare) => (this.keys.get(compare.key)?.modRevision ?? 0) === compare.modRevision,
     );
-    if (!holds) return false;
-    this.current += 1;
+    if (!allHold) return false;
+    this.currentRevision += 1;
     for (const put of puts) this.put(put);
     return true;
   }
 
-  /** Adds a watch; the result removes it. */
+  /** Adds a watch; the returned function removes it. */
   watch(start: string, end: string | undefined, sink: WatchSink): () => void {
     const watch: Watch = { start, end, sink };
     this.watches.add(watch);
@@ -72,16 +72,16 @@
   }
 
   private put(put: Put): void {
-    const created = this.keys.get(put.key)?.createRevision ?? this.current;
+    const created = this.keys.get(put.key)?.createRevision ?? this.currentRevision;
     const stored: StoredKey = {
       key: put.key,
       value: put.value,
       createRevision: created,
-      modRevision: this.current,
+      modRevision: this.currentRevision,
     };
     this.keys.set(put.key, stored);
     for (const watch of this.watches) {
-      if (inRange(put.key, watch.start, watch.end)) watch.sink(stored, this.current);
+      if (inRange(put.key, watch.start, watch.end)) watch.sink(stored, this.currentRevision);
     }
   }
 }
--- a/packages/standins/src/upstream/bind-message.ts
+++ b/packages/standins/src/upstream/bind-message.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the bodies of extended protocol messages for the stand-in upstream.
+ * Decodes extended-protocol messages for the stand-in upstream.
  */
 import { BufferReader } from 'pg-protocol/dist/buffer-reader.js';
 
@@ -11,30 +11,30 @@
 const BOOL_OID = 16;
 const PORTAL_CODE = 0x50;
 
-/** Body of Parse. */
+/** Body of a Parse message. */
 export interface ParseBody {
   readonly name: string;
   readonly sql: string;
   readonly types: readonly number[];
 }
 
-/** Body of Bind, parameters as text. */
+/** Body of a Bind message with its parameters as text. */
 export interface BindBody {
   readonly portal: string;
   readonly statement: string;
   readonly parameters: readonly (string | null)[];
 }
 
-/** Object named by Describe or Close. */
+/** Portal or prepared statement that a Describe or Close message names. */
 export interface Target {
   readonly isPortal: boolean;
   readonly name: string;
 }
 
-/** Body of Execute. */
+/** Body of an Execute message. */
 export interface ExecuteBody {
   readonly portal: string;
-  /** Rows at most; 0 for all. */
+  /** Maximum number of rows; 0 for all. */
   readonly limit: number;
 }
 
@@ -44,7 +44,6 @@
   return reader;
 }
 
-/** Reads Parse. */
 export function readParse(message: Buffer): ParseBody {
   const reader = readerOf(message);
   const name = reader.cstring();
@@ -54,7 +53,7 @@
   return { name, sql, types };
 }
 
-/** Reads Bind; `typesOf` gives the parameter types that Parse stated. */
+/** Decodes a Bind message; `typesOf` returns the parameter types that the Parse message declared. */
 export function readBind(
   message: Buffer,
   typesOf: (statement: string) => readonly number[],
@@ -84,15 +83,15 @@
   return bytes.toString();
 }
 
-/** Reads Describe or Close. */
+/** Decodes a Describe or Close message. */
 export function readTarget(message: Buffer): Target {
   const reader = readerOf(message);
   const isPortal = reader.byte() === PORTAL_CODE;
   return { isPortal, name: reader.cstring() };
 }
 
-/** Reads Execute. */
-export function readExecuteLimit(message: Buffer): ExecuteBody {
+/** Decodes an Execute message. */
+export function readExecute(message: Buffer): ExecuteBody {
   const reader = readerOf(message);
   return { portal: reader.cstring(), limit: reader.int32() };
 }
--- a/packages/standins/src/upstream/control-functions.ts
+++ b/packages/standins/src/upstream/control-functions.ts
@@ -1,5 +1,5 @@
 /**
- * The control functions of a stand-in upstream: status, fence, promote, follow.
+ * SQL control functions of a stand-in upstream: status, fence, promote and follow.
  */
 import type { Expr } from 'pgsql-ast-parser';
 import type { Lineage } from '@gladespool/coordination';
@@ -8,7 +8,7 @@
 import { evaluate, SqlError, SqlState } from './expression.js';
 import type { UpstreamNode } from './upstream-node.js';
 
-/** Runs `SELECT * FROM gladespool_…(…)`. */
+/** Executes `SELECT * FROM gladespool_…(…)` statements. */
 export class ControlFunctions {
   constructor(private readonly node: UpstreamNode) {}
 
@@ -25,17 +25,19 @@
         this.node.fence(Number(values[0]));
         return this.status();
       case 'gladespool_promote':
-        this.require(this.node.promote(Number(values[0]), lineageOf(values[1])));
+        this.assertAccepted(this.node.promote(Number(values[0]), parseLineage(values[1])));
         return this.status();
       case 'gladespool_follow':
-        this.require(this.node.follow(Number(values[0]), values[1] ?? '', lineageOf(values[4])));
+        this.assertAccepted(
+          this.node.follow(Number(values[0]), values[1] ?? '', parseLineage(values[4])),
+        );
         return this.status();
       default:
         throw new SqlError(SqlState.NotSupported, `function ${name} does not exist`);
     }
   }
 
-  private require(accepted: boolean): void {
+  private assertAccepted(accepted: boolean): void {
     if (!accepted) throw new SqlError(SqlState.WrongObjectState, 'fenced at a later term');
   }
 
@@ -45,7 +47,7 @@
   }
 }
 
-function lineageOf(text: string | undefined): Lineage {
+function parseLineage(text: string | undefined): Lineage {
   const lineage = decodeLineage(text ?? '');
   if (lineage === undefined) throw new SqlError('22023', 'lineage is not valid');
   return lineage;
--- a/packages/standins/src/upstream/executor.ts
+++ b/packages/standins/src/upstream/executor.ts
@@ -1,6 +1,6 @@
 /**
- * Runs statements of the stand-in's SQL subset: INSERT, SELECT by condition, count, UPDATE, DELETE,
- * transactions, and the control functions.
+ * Executes the SQL subset of the stand-in upstream: INSERT, SELECT with a condition, count, UPDATE,
+ * DELETE, transactions and the control functions.
  */
 import type {
   DeleteStatement,
@@ -21,14 +21,14 @@
 
 /** Result of one statement. */
 export interface StatementResult {
-  /** Column names; undefined for statements without rows. */
+  /** Column names; undefined for statements that return no rows. */
   readonly columns: readonly string[] | undefined;
   readonly rows: readonly (readonly (string | null)[])[];
   readonly tag: string;
 }
 
 interface Transaction {
-  /** Whether BEGIN opened it; otherwise it ends with the statement. */
+  /** Whether it was opened with BEGIN; an implicit transaction ends with the statement. */
   explicit: boolean;
   failed: boolean;
   readonly changes: Map<string, Change>;
@@ -38,17 +38,21 @@
 type Parameters = readonly (string | null)[];
 
 const KEY_COLUMN = 'id';
-const parsed = new Map<string, Statement[]>();
-const PARSED_LIMIT = 2000;
+const parseCache = new Map<string, Statement[]>();
+const PARSE_CACHE_LIMIT = 2000;
 
-/** Parses a text; an SqlError when the stand-in can't. */
+/**
+ * Parses an SQL text.
+ *
+ * @throws SqlError if the text cannot be parsed
+ */
 export function parseSql(sql: string): Statement[] {
-  const known = parsed.get(sql);
-  if (known !== undefined) return known;
-  if (parsed.size > PARSED_LIMIT) parsed.clear();
+  const cached = parseCache.get(sql);
+  if (cached !== undefined) return cached;
+  if (parseCache.size > PARSE_CACHE_LIMIT) parseCache.clear();
   try {
     const statements = parse(sql);
-    parsed.set(sql, statements);
+    parseCache.set(sql, statements);
     return statements;
   } catch (cause) {
     const reason = cause instanceof Error ? (cause.message.split('\n')[0] ?? '') : '';
@@ -59,7 +63,7 @@
 /** Executes the statements of one session. */
 export class Executor {
   private transaction: Transaction | undefined;
-  /** Set by a cancel request; ends the running wait. */
+  /** Set by a cancel request; ends a running `pg_sleep`. */
   canceled = false;
 
   constructor(
@@ -73,7 +77,7 @@
     return this.transaction.failed ? TransactionStatus.Failed : TransactionStatus.InTransaction;
   }
 
-  /** Runs one statement inside the open transaction or the implicit one. */
+  /** Executes a statement in the open transaction, or else in an implicit one. */
   async run(statement: Statement, parameters: Parameters): Promise<StatementResult> {
     const transaction = (this.transaction ??= newTransaction());
     if (transaction.failed && statement.type !== 'rollback' && statement.type !== 'commit') {
@@ -82,7 +86,7 @@
     return this.dispatch(statement, parameters, transaction);
   }
 
-  /** Ends the implicit transaction at a Sync or at the end of a simple query. */
+  /** Ends an implicit transaction; called at a Sync message and at the end of a simple query. */
   sync(): void {
     const transaction = this.transaction;
     if (transaction === undefined || transaction.explicit) return;
@@ -95,7 +99,7 @@
     if (this.transaction !== undefined) this.transaction.failed = true;
   }
 
-  /** Rolls back whatever is open; the session has ended. */
+  /** Discards the open transaction, if any, and releases its locks. */
   rollback(): void {
     const transaction = this.transaction;
     this.transaction = undefined;
@@ -112,12 +116,12 @@
       case 'begin':
         if (!transaction.explicit) this.node.openTransactions += 1;
         transaction.explicit = true;
-        return bare('BEGIN');
+        return commandResult('BEGIN');
       case 'commit':
         return this.runCommit(transaction);
       case 'rollback':
         this.rollback();
-        return bare('ROLLBACK');
+        return commandResult('ROLLBACK');
       case 'insert':
         return this.insert(statement, parameters, transaction);
       case 'update':
@@ -134,10 +138,10 @@
   private runCommit(transaction: Transaction): StatementResult {
     if (transaction.failed) {
       this.rollback();
-      return bare('ROLLBACK');
+      return commandResult('ROLLBACK');
     }
     this.commit(transaction);
-    return bare('COMMIT');
+    return commandResult('COMMIT');
   }
 
   private commit(transaction: Transaction): void {
@@ -163,7 +167,7 @@
       const row = insertedRow(columns, tuple, parameters);
       await this.insertRow(statement.into.name, row, transaction);
     }
-    return bare(`INSERT 0 ${statement.insert.values.length}`);
+    return commandResult(`INSERT 0 ${statement.insert.values.length}`);
   }
 
   private async insertRow(table: string, row: Row, transaction: Transaction): Promise<void> {
@@ -171,8 +175,8 @@
     if (key === null || key === undefined) {
       throw new SqlError('23502', `column ${KEY_COLUMN} must have a value`);
     }
-    await this.lock(table, key, transaction);
-    if (this.visible(table, key, transaction) !== undefined) {
+    await this.lockRow(table, key, transaction);
+    if (this.visibleRow(table, key, transaction) !== undefined) {
       throw new SqlError(SqlState.UniqueViolation, `duplicate key ${key} in ${table}`);
     }
     transaction.changes.set(lockName(table, key), { table, key, row });
@@ -184,10 +188,10 @@
     transaction: Transaction,
   ): Promise<StatementResult> {
     const table = statement.table.name;
-    const keys = this.matching(table, statement.where, parameters, transaction);
+    const keys = this.matchingRows(table, statement.where, parameters, transaction);
     for (const [key] of keys) {
-      await this.lock(table, key, transaction);
-      const row = this.visible(table, key, transaction);
+      await this.lockRow(table, key, transaction);
+      const row = this.visibleRow(table, key, transaction);
       if (row === undefined) continue;
       const changed: Record<string, string | null> = { ...row };
       for (const set of statement.sets) {
@@ -195,7 +199,7 @@
       }
       transaction.changes.set(lockName(table, key), { table, key, row: changed });
     }
-    return bare(`UPDATE ${keys.length}`);
+    return commandResult(`UPDATE ${keys.length}`);
   }
 
   private async remove(
@@ -204,12 +208,12 @@
     transaction: Transaction,
   ): Promise<StatementResult> {
     const table = statement.from.name;
-    const keys = this.matching(table, statement.where, parameters, transaction);
+    const keys = this.matchingRows(table, statement.where, parameters, transaction);
     for (const [key] of keys) {
-      await this.lock(table, key, transaction);
+      await this.lockRow(table, key, transaction);
       transaction.changes.set(lockName(table, key), { table, key, row: undefined });
     }
-    return bare(`DELETE ${keys.length}`);
+    return commandResult(`DELETE ${keys.length}`);
   }
 
   private async select(
@@ -225,7 +229,7 @@
     if (from.type !== 'table') {
       throw new SqlError(SqlState.NotSupported, 'SELECT takes one table');
     }
-    const rows = this.matching(from.name.name, statement.where, parameters, transaction);
+    const rows = this.matchingRows(from.name.name, statement.where, parameters, transaction);
     const columns = columnsOf(statement, this.node.tables);
     const found = rows.map(([, row]) => row);
     return project(statement, columns, found, parameters);
@@ -237,7 +241,7 @@
   ): Promise<StatementResult> {
     const [column] = statement.columns ?? [];
     if (column?.expr.type === 'call' && column.expr.function.name === 'pg_sleep') {
-      await this.sleep(Number(evaluate(firstOf(column.expr.args), { row: {}, parameters })));
+      await this.sleep(Number(evaluate(firstArgument(column.expr.args), { row: {}, parameters })));
       return { columns: ['pg_sleep'], rows: [['']], tag: 'SELECT 1' };
     }
     return project(statement, columnsOf(statement, this.node.tables), [{}], parameters);
@@ -254,24 +258,24 @@
     }
   }
 
-  private matching(
+  private matchingRows(
     table: string,
     where: Expr | null | undefined,
     parameters: Parameters,
     transaction: Transaction,
   ): [string, Row][] {
     const key = equalityKey(where, parameters);
-    const candidates = key === undefined ? this.scan(table, transaction) : [key];
+    const candidates = key === undefined ? this.allKeys(table, transaction) : [key];
     const found: [string, Row][] = [];
     for (const candidate of candidates) {
-      const row = this.visible(table, candidate, transaction);
+      const row = this.visibleRow(table, candidate, transaction);
       if (row === undefined) continue;
       if (!where || evaluate(where, { row, parameters }) === true) found.push([candidate, row]);
     }
     return found;
   }
 
-  private scan(table: string, transaction: Transaction): Set<string> {
+  private allKeys(table: string, transaction: Transaction): Set<string> {
     const keys = new Set<string>();
     for (const [key] of this.node.tables.entries(table)) keys.add(key);
     for (const change of transaction.changes.values()) {
@@ -280,12 +284,12 @@
     return keys;
   }
 
-  private visible(table: string, key: string, transaction: Transaction): Row | undefined {
+  private visibleRow(table: string, key: string, transaction: Transaction): Row | undefined {
     const change = transaction.changes.get(lockName(table, key));
     return change === undefined ? this.node.tables.get(table, key) : change.row;
   }
 
-  private async lock(table: string, key: string, transaction: Transaction): Promise<void> {
+  private async lockRow(table: string, key: string, transaction: Transaction): Promise<void> {
     if (!this.node.canWrite) {
       throw new SqlError(SqlState.ReadOnly, 'cannot write: not the primary of the current term');
     }
@@ -299,7 +303,7 @@
   return { explicit: false, failed: false, changes: new Map(), locks: new Set() };
 }
 
-function bare(tag: string): StatementResult {
+function commandResult(tag: string): StatementResult {
   return { columns: undefined, rows: [], tag };
 }
 
@@ -307,7 +311,7 @@
   return `${table}\0${key}`;
 }
 
-function firstOf(args: readonly Expr[]): Expr {
+function firstArgument(args: readonly Expr[]): Expr {
   const [first] = args;
   if (first === undefined) throw new SqlError(SqlState.Syntax, 'argument missing');
   return first;
@@ -327,7 +331,7 @@
   return row;
 }
 
-/** Key of a condition `id = value`; undefined for any other condition. */
+/** Returns the key of a condition `id = value`; undefined for any other condition. */
 function equalityKey(where: Expr | null | undefined, parameters: Parameters): string | undefined {
   if (where?.type !== 'binary' || where.op !== '=') return undefined;
   if (where.left.type !== 'ref' || where.left.name !== KEY_COLUMN) return undefined;
@@ -335,7 +339,7 @@
   return typeof value === 'string' ? value : undefined;
 }
 
-/** Column names that a SELECT of this node gives. */
+/** Returns the names of a SELECT statement's result columns. */
 export function columnsOf(statement: SelectFromStatement, tables: TableState): readonly string[] {
   return (statement.columns ?? []).flatMap((column) => {
     if (column.alias !== undefined) return [column.alias.name];
--- a/packages/standins/src/upstream/expression.ts
+++ b/packages/standins/src/upstream/expression.ts
@@ -1,19 +1,19 @@
 /**
- * Evaluates the small subset of SQL expressions that the stand-in upstream takes.
+ * Evaluates the subset of SQL expressions that the stand-in upstream supports.
  */
 import type { Expr } from 'pgsql-ast-parser';
 import type { Row } from './log.js';
 
-/** A value of the stand-in: text, truth value or null. */
+/** SQL value of the stand-in: text, boolean or null. */
 export type Value = string | boolean | null;
 
-/** What an expression may refer to. */
+/** Columns and parameters that an expression can refer to. */
 export interface Scope {
   readonly row: Row;
   readonly parameters: readonly (string | null)[];
 }
 
-/** An SQL error with its SQLSTATE. */
+/** Error that is reported to the client with an SQLSTATE. */
 export class SqlError extends Error {
   constructor(
     readonly sqlState: string,
@@ -23,7 +23,7 @@
   }
 }
 
-/** SQLSTATEs that the stand-in raises. */
+/** SQLSTATE codes that the stand-in reports. */
 export enum SqlState {
   Syntax = '42601',
   NotSupported = '0A000',
@@ -38,7 +38,6 @@
   WrongObjectState = '55000',
 }
 
-/** Evaluates `expr`. */
 export function evaluate(expr: Expr, scope: Scope): Value {
   switch (expr.type) {
     case 'string':
@@ -98,7 +97,7 @@
   throw new SqlError(SqlState.NotSupported, `operator ${op} is not supported`);
 }
 
-/** A value as the text that goes to the client. */
+/** Returns the text representation of a value that is sent to the client. */
 export function toText(value: Value): string | null {
   if (value === null) return null;
   if (value === true) return 't';
--- a/packages/standins/src/upstream/log.ts
+++ b/packages/standins/src/upstream/log.ts
@@ -1,24 +1,24 @@
 /**
- * Replicated log of a stand-in upstream and the tables that follow from it.
+ * Replicated log of a stand-in upstream and the tables that are built from it.
  */
 
-/** A row by column name; all values are text. */
+/** Values of a row by column name; all values are text. */
 export type Row = Readonly<Record<string, string | null>>;
 
-/** Change of one row; `row` undefined deletes it. */
+/** Change of one row; an undefined `row` deletes it. */
 export interface Change {
   readonly table: string;
   readonly key: string;
   readonly row: Row | undefined;
 }
 
-/** One committed transaction. */
+/** Log entry of one committed transaction. */
 export interface LogEntry {
   readonly term: number;
   readonly changes: readonly Change[];
 }
 
-/** Tables as of some point of the log. */
+/** Contents of the tables at a position of the log. */
 export class TableState {
   private readonly tables = new Map<string, Map<string, Row>>();
   private readonly columns = new Map<string, Set<string>>();
@@ -28,11 +28,11 @@
       const rows = this.rowsOf(change.table);
       if (change.row === undefined) rows.delete(change.key);
       else rows.set(change.key, change.row);
-      this.noteColumns(change);
+      this.recordColumns(change);
     }
   }
 
-  /** Columns that rows of a table have had, in order of appearance. */
+  /** Returns all columns that rows of a table have had, in order of first appearance. */
   columnsOf(table: string): readonly string[] {
     return [...(this.columns.get(table) ?? [])];
   }
@@ -45,15 +45,15 @@
     return this.rowsOf(table).entries();
   }
 
-  private noteColumns(change: Change): void {
+  private recordColumns(change: Change): void {
     const known = this.columns.get(change.table) ?? new Set<string>();
     this.columns.set(change.table, known);
     for (const column of Object.keys(change.row ?? {})) known.add(column);
   }
 
   private rowsOf(table: string): Map<string, Row> {
-    const held = this.tables.get(table);
-    if (held !== undefined) return held;
+    const existing = this.tables.get(table);
+    if (existing !== undefined) return existing;
     const created = new Map<string, Row>();
     this.tables.set(table, created);
     return created;
--- a/packages/standins/src/upstream/row-locks.ts
+++ b/packages/standins/src/upstream/row-locks.ts
@@ -1,26 +1,26 @@
 /**
- * Row locks of a stand-in upstream: a writer waits for the transaction that holds the row.
+ * Row locks of a stand-in upstream: a writer waits until the transaction that locked the row ends.
  */
 import { SqlError, SqlState } from './expression.js';
 
-interface Held {
+interface HeldLock {
   readonly owner: object;
   readonly waiters: (() => void)[];
 }
 
-/** A wait as long as this counts as a deadlock, milliseconds. */
-const DEADLOCK_MS = 1000;
+/** Wait time after which a lock request fails as a deadlock, milliseconds. */
+const DEADLOCK_TIMEOUT_MS = 1000;
 
-/** Locks by table and key. */
+/** Row locks by table and key. */
 export class RowLocks {
-  private readonly held = new Map<string, Held>();
+  private readonly locks = new Map<string, HeldLock>();
 
-  /** Waits until `owner` holds the row. */
+  /** Locks a row for `owner`; waits while another owner holds it. */
   async lock(owner: object, name: string): Promise<void> {
     for (;;) {
-      const lock = this.held.get(name);
+      const lock = this.locks.get(name);
       if (lock === undefined) {
-        this.held.set(name, { owner, waiters: [] });
+        this.locks.set(name, { owner, waiters: [] });
         return;
       }
       if (lock.owner === owner) return;
@@ -28,21 +28,21 @@
     }
   }
 
-  /** Releases every row of `owner`. */
+  /** Releases those of the named rows that `owner` has locked. */
   releaseAll(owner: object, names: Iterable<string>): void {
     for (const name of names) {
-      const lock = this.held.get(name);
+      const lock = this.locks.get(name);
       if (lock?.owner !== owner) continue;
-      this.held.delete(name);
+      this.locks.delete(name);
       for (const wake of lock.waiters) wake();
     }
   }
 
-  private wait(lock: Held): Promise<void> {
+  private wait(lock: HeldLock): Promise<void> {
     return new Promise((resolve, reject) => {
       const timer = setTimeout(() => {
         reject(new SqlError(SqlState.Deadlock, 'row lock not granted in time'));
-      }, DEADLOCK_MS);
+      }, DEADLOCK_TIMEOUT_MS);
       lock.waiters.push(() => {
         clearTimeout(timer);
         resolve();
--- a/packages/standins/src/upstream/session.ts
+++ b/packages/standins/src/upstream/session.ts
@@ -1,5 +1,5 @@
 /**
- * One client session of a stand-in upstream: simple and extended protocol over the executor.
+ * Client session of a stand-in upstream: handles the simple and the extended query protocol.
  */
 import type { Socket } from 'node:net';
 import {
@@ -15,7 +15,7 @@
   MessageSplitter,
 } from '@gladespool/protocol';
 import type { Statement } from 'pgsql-ast-parser';
-import { readBind, readExecuteLimit, readParse, readTarget } from './bind-message.js';
+import { readBind, readExecute, readParse, readTarget } from './bind-message.js';
 import type { Executor, StatementResult } from './executor.js';
 import { columnsOf, parseSql } from './executor.js';
 import { SqlError, SqlState } from './expression.js';
@@ -29,21 +29,21 @@
 interface Portal {
   readonly prepared: Prepared;
   readonly parameters: readonly (string | null)[];
-  /** Rows not fetched yet, once the portal has run. */
+  /** Complete result; undefined until the portal is executed. */
   result: StatementResult | undefined;
   fetched: number;
 }
 
 const MAX_MESSAGE_BYTES = 64 * 1024 * 1024;
 
-/** Serves one logged-in connection. */
+/** Session of one authenticated connection. */
 export class UpstreamSession {
   private readonly splitter = new MessageSplitter(MAX_MESSAGE_BYTES, 'client');
   private readonly queue: Buffer[] = [];
   private readonly prepared = new Map<string, Prepared>();
   private readonly portals = new Map<string, Portal>();
   private busy = false;
-  private skipping = false;
+  private skippingToSync = false;
   private paused = false;
 
   constructor(
@@ -59,7 +59,7 @@
     socket.on('error', () => undefined);
   }
 
-  /** Stops or resumes work, as a frozen process would. */
+  /** Pauses or resumes message processing, to simulate a frozen process. */
   setPaused(paused: boolean): void {
     this.paused = paused;
     if (!paused) void this.drain();
@@ -97,19 +97,19 @@
       return;
     }
     if (type === FrontendType.Sync) {
-      this.finish();
+      this.sync();
       return;
     }
     if (type === FrontendType.Query) {
       await this.simpleQuery(message.toString('utf8', 5, message.length - 1));
       return;
     }
-    if (this.skipping) return;
+    if (this.skippingToSync) return;
     try {
-      await this.extended(message);
+      await this.handleExtended(message);
     } catch (error) {
       this.sendError(error);
-      this.skipping = true;
+      this.skippingToSync = true;
     }
   }
 
@@ -125,11 +125,11 @@
     } catch (error) {
       this.sendError(error);
     }
-    this.finish();
+    this.sync();
   }
 
-  private finish(): void {
-    this.skipping = false;
+  private sync(): void {
+    this.skippingToSync = false;
     try {
       this.executor.sync();
     } catch (error) {
@@ -145,7 +145,7 @@
     this.socket.write(encodeError({ severity: 'ERROR', code, message }));
   }
 
-  private async extended(message: Buffer): Promise<void> {
+  private async handleExtended(message: Buffer): Promise<void> {
     switch (message[0]) {
       case FrontendType.Parse:
         this.parse(message);
@@ -206,7 +206,7 @@
   }
 
   private async execute(message: Buffer): Promise<void> {
-    const { portal: name, limit } = readExecuteLimit(message);
+    const { portal: name, limit } = readExecute(message);
     const portal = this.portal(name);
     const [statement] = portal.prepared.statements;
     if (statement === undefined) {
--- a/packages/standins/src/upstream/upstream-node.ts
+++ b/packages/standins/src/upstream/upstream-node.ts
@@ -1,32 +1,32 @@
 /**
- * State of one stand-in upstream: log, term, role, fence, asynchronous replication with a lag
- * that can be set. Its sessions and its listening socket live in other modules.
+ * State of one stand-in upstream: log, term, role, fence, and asynchronous replication with a
+ * configurable lag. Other modules implement its sessions and its listening socket.
  */
 import type { Lineage, Position, UpstreamReport } from '@gladespool/coordination';
 import { sharedPrefix, termAt, upstreamId, UpstreamRole } from '@gladespool/coordination';
 import type { LogEntry } from './log.js';
 import { TableState } from './log.js';
 
-/** How the nodes of a group reach each other. */
+/** Replication links between the nodes of a group. */
 export interface ReplicationLinks {
-  /** One-way delay, milliseconds; undefined while the link is cut. */
+  /** Returns the one-way delay, milliseconds; undefined while the link is cut. */
   delayMs(from: string, to: string): number | undefined;
 }
 
 const PULL_INTERVAL_MS = 10;
 
-/** One upstream of a group. */
+/** Upstream of a group. */
 export class UpstreamNode {
   role: UpstreamRole;
   term = 1;
   fencedTerm = 1;
   lineage: Lineage = [{ term: 1, start: 0 }];
   following: string | undefined;
-  /** Extra time between receiving and applying, milliseconds. */
+  /** Delay between receiving and applying a log entry, milliseconds. */
   applyLagMs = 0;
-  /** Whether replication into this node is held back. */
+  /** Whether replication to this node is suspended. */
   replicationHeld = false;
-  /** Transactions open in sessions. */
+  /** Number of open explicit transactions in all sessions. */
   openTransactions = 0;
   paused = false;
   stopped = false;
@@ -36,7 +36,7 @@
   private epoch = 0;
   private readonly peers = new Map<string, UpstreamNode>();
   private readonly resetListeners: (() => void)[] = [];
-  private readonly pulling: NodeJS.Timeout;
+  private readonly pullTimer: NodeJS.Timeout;
 
   constructor(
     readonly id: string,
@@ -45,27 +45,30 @@
   ) {
     this.role = id === primary ? UpstreamRole.Primary : UpstreamRole.Replica;
     this.following = id === primary ? undefined : primary;
-    this.pulling = setInterval(() => {
+    this.pullTimer = setInterval(() => {
       this.pull();
     }, PULL_INTERVAL_MS);
   }
 
-  /** Makes the other nodes of the group known. */
+  /** Registers the other nodes of the group. */
   connectPeers(nodes: readonly UpstreamNode[]): void {
     for (const node of nodes) if (node.id !== this.id) this.peers.set(node.id, node);
   }
 
-  /** Calls back when the log was truncated: sessions must end, as on a restart. */
+  /**
+   * Adds a listener that is called when the log was truncated or a primary became a replica: its
+   * sessions must end, as on a restart.
+   */
   onReset(listener: () => void): void {
     this.resetListeners.push(listener);
   }
 
-  /** Tables as this node's readers see them. */
+  /** Tables with all applied entries, as readers of this node see them. */
   get tables(): TableState {
     return this.state;
   }
 
-  /** Committed entries, for checkers of what stands in the log. */
+  /** Committed log entries, for checks of the log's contents. */
   get entries(): readonly LogEntry[] {
     return this.log;
   }
@@ -86,7 +89,7 @@
     };
   }
 
-  /** Appends a transaction; only while {@link canWrite}. */
+  /** Appends a transaction to the log; callers must check {@link canWrite} first. */
   commit(changes: LogEntry['changes']): void {
     const entry: LogEntry = { term: this.term, changes };
     this.log.push(entry);
@@ -99,7 +102,7 @@
     this.fencedTerm = Math.max(this.fencedTerm, term);
   }
 
-  /** Makes this node the primary of `term`; false when it was fenced past it. */
+  /** Makes this node the primary of `term`; returns false if it is fenced at a later term. */
   promote(term: number, lineage: Lineage): boolean {
     if (this.fencedTerm > term) return false;
     this.fencedTerm = term;
@@ -112,29 +115,29 @@
     return true;
   }
 
-  /** Makes this node a replica of `primary`; false when it was fenced past `term`. */
+  /** Makes this node a replica of `primary`; returns false if it is fenced at a term after `term`. */
   follow(term: number, primary: string, lineage: Lineage): boolean {
     if (this.fencedTerm > term) return false;
     this.fencedTerm = term;
     const wasPrimary = this.role === UpstreamRole.Primary;
-    const keep = Math.min(this.log.length, sharedPrefix(this.lineage, lineage));
+    const sharedLength = Math.min(this.log.length, sharedPrefix(this.lineage, lineage));
     this.role = UpstreamRole.Replica;
     this.following = primary;
     this.term = term;
     this.lineage = lineage;
-    if (keep < this.log.length) this.truncate(keep);
+    if (sharedLength < this.log.length) this.truncate(sharedLength);
     else if (wasPrimary) this.notifyReset();
     return true;
   }
 
-  /** Stops timers; the node is no longer used. */
+  /** Stops replication for good; the node must not be used afterwards. */
   dispose(): void {
-    clearInterval(this.pulling);
+    clearInterval(this.pullTimer);
   }
 
   private positionAt(offset: number): Position {
-    const reached = termAt(this.lineage, offset);
-    return { term: Math.min(reached, this.term), offset };
+    const termAtOffset = termAt(this.lineage, offset);
+    return { term: Math.min(termAtOffset, this.term), offset };
   }
 
   private truncate(length: number): void {
@@ -177,9 +180,9 @@
     const fromPrimary = this.following === primary.id && primary.term === this.term;
     const accepts = this.fencedTerm <= primary.term && this.running && epoch === this.epoch;
     if (!fromPrimary || !accepts || primary.role !== UpstreamRole.Primary) return;
-    const news = primary.log.slice(this.log.length, upTo);
-    if (news.length === 0) return;
-    this.log.push(...news);
+    const newEntries = primary.log.slice(this.log.length, upTo);
+    if (newEntries.length === 0) return;
+    this.log.push(...newEntries);
     const target = this.log.length;
     if (this.applyLagMs === 0) this.applyUpTo(target, this.epoch);
     else {
--- a/packages/standins/src/upstream/upstream-server.ts
+++ b/packages/standins/src/upstream/upstream-server.ts
@@ -1,5 +1,5 @@
 /**
- * Listening side of a stand-in upstream: login with a set delay, connection limit, cancel.
+ * Server of a stand-in upstream: logins with a configurable delay, connection limit, cancel requests.
  */
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { createServer } from 'node:net';
@@ -13,34 +13,34 @@
 import { UpstreamSession } from './session.js';
 import type { UpstreamNode } from './upstream-node.js';
 
-/** Options of a stand-in upstream's server. */
+/** Options of an upstream server. */
 export interface UpstreamServerOptions {
   readonly node: UpstreamNode;
   readonly address: string;
-  /** 0 chooses a free port. */
+  /** Port to listen on; 0 for any free port. */
   readonly port: number;
   readonly user: string;
   readonly password: string;
-  /** Request connections accepted at once; control connections of hosts come on top. */
+  /** Maximum number of open request connections; control connections of hosts do not count. */
   readonly maxConnections: number;
-  /** Time that a login takes, milliseconds. */
+  /** Duration of a login, milliseconds. */
   readonly connectMs: number;
 }
 
 const LOGIN_TIMEOUT_MS = 10_000;
 
-/** A stand-in upstream that listens. */
+/** Server that accepts the connections to one stand-in upstream. */
 export class UpstreamServer {
   private readonly sessions = new Map<number, UpstreamSession>();
   private readonly sockets = new Set<Socket>();
-  private readonly secrets = new Map<number, number>();
+  private readonly cancelSecrets = new Map<number, number>();
   private readonly locks = new RowLocks();
   private server: Server | undefined;
   private boundPort: number;
-  private admitted = 0;
-  /** Most sessions open at once since the start. */
+  private requestSessions = 0;
+  /** Highest number of concurrently open request sessions since the start. */
   peakSessions = 0;
-  /** Logins refused because of the connection limit. */
+  /** Number of logins refused because of the connection limit. */
   refusedLogins = 0;
 
   constructor(private readonly options: UpstreamServerOptions) {
@@ -58,7 +58,7 @@
     return this.options.node;
   }
 
-  /** Starts to listen. */
+  /** Starts to listen; also restarts a stopped upstream. */
   async listen(): Promise<void> {
     const server = createServer((socket) => {
       this.accept(socket);
@@ -72,7 +72,7 @@
     this.node.stopped = false;
   }
 
-  /** Stops as a crash would; the log stays. */
+  /** Stops the upstream as in a crash; its log is kept. */
   async stop(): Promise<void> {
     this.node.stopped = true;
     for (const socket of this.sockets) socket.destroy();
@@ -81,7 +81,7 @@
     if (server !== undefined) await new Promise((resolve) => server.close(resolve));
   }
 
-  /** Freezes or resumes the process. */
+  /** Pauses or resumes the upstream, to simulate a frozen process. */
   setPaused(paused: boolean): void {
     this.node.paused = paused;
     for (const session of this.sessions.values()) session.setPaused(paused);
@@ -105,7 +105,7 @@
       ]),
       admit: (parameters) => this.admit(socket, parameters.get('application_name') ?? ''),
       onLogin: (info) => {
-        this.begin(info);
+        this.startSession(info);
       },
       onFault: () => undefined,
       onCancel: (key) => {
@@ -117,7 +117,7 @@
   private async admit(socket: Socket, application: string): Promise<ErrorFields | undefined> {
     await new Promise((resolve) => setTimeout(resolve, this.options.connectMs));
     if (application === CONTROL_APPLICATION) return undefined;
-    if (this.admitted >= this.options.maxConnections) {
+    if (this.requestSessions >= this.options.maxConnections) {
       this.refusedLogins += 1;
       return {
         severity: 'FATAL',
@@ -125,29 +125,29 @@
         message: 'too many connections',
       };
     }
-    this.admitted += 1;
-    this.peakSessions = Math.max(this.peakSessions, this.admitted);
+    this.requestSessions += 1;
+    this.peakSessions = Math.max(this.peakSessions, this.requestSessions);
     socket.once('close', () => {
-      this.admitted -= 1;
+      this.requestSessions -= 1;
     });
     return undefined;
   }
 
-  private begin(info: LoginInfo): void {
+  private startSession(info: LoginInfo): void {
     const { processId, secret } = info.key;
     const executor = new Executor(this.node, this.locks, new ControlFunctions(this.node));
     const session = new UpstreamSession(info.socket, executor);
     session.setPaused(this.node.paused);
     this.sessions.set(processId, session);
-    this.secrets.set(processId, secret);
+    this.cancelSecrets.set(processId, secret);
     info.socket.once('close', () => {
       this.sessions.delete(processId);
-      this.secrets.delete(processId);
+      this.cancelSecrets.delete(processId);
     });
   }
 
   private cancel(key: CancelKey): void {
-    if (this.secrets.get(key.processId) !== key.secret) return;
+    if (this.cancelSecrets.get(key.processId) !== key.secret) return;
     const session = this.sessions.get(key.processId);
     if (session !== undefined) session.executor.canceled = true;
   }
--- a/packages/standins/tests/free-ports.feature
+++ b/packages/standins/tests/free-ports.feature
@@ -1,6 +1,6 @@
-Feature: Ports for servers of a test
+Feature: Ports for test servers
 
-  # Guards against hosts of a test that never start, since two of their servers were given one port.
-  Scenario: Ports that are chosen together
+  # Guards against test hosts that never start because two of their servers are assigned the same port.
+  Scenario: Ports chosen together are distinct
     When 500 ports of one address are chosen
     Then they all differ
