--- a/packages/measure/src/model/breadth-first.ts
+++ b/packages/measure/src/model/breadth-first.ts
@@ -1,48 +1,48 @@
 /**
- * Visits every state of a model breadth first, so that the trace to a fault is a shortest one.
+ * A breadth-first model checker: it visits every reachable state, so the trace to a fault is a shortest one.
  */
 
-/** A step of a model to another state. */
+/** A named transition of a model to another state. */
 export interface ModelStep<State> {
   readonly name: string;
   readonly next: State;
 }
 
-/** What a model is made of. */
+/** A state machine to check: its initial state, its transitions and its invariants. */
 export interface Model<State> {
   readonly initial: State;
   stepsFrom(state: State): readonly ModelStep<State>[];
-  /** What is wrong with a state; undefined when all holds. */
+  /** Describes the invariant that the state violates; undefined if it violates none. */
   faultOf(state: State): string | undefined;
-  /** A text that is the same for equal states only. */
+  /** Returns a key that is the same only for states that are treated as equal. */
   keyOf(state: State): string;
 }
 
-/** A state that must not be, and how it came about. */
+/** A state that violates an invariant, with the steps that lead to it. */
 export interface ModelFault<State> {
   readonly what: string;
-  /** Names of the steps that led to it, the first one first. */
+  /** Names of the steps from the initial state, in order. */
   readonly trace: readonly string[];
   readonly state: State;
 }
 
-/** Result of a visit. */
+/** Result of visiting the states of a model. */
 export interface Visit<State> {
   readonly states: number;
   /** Whether every reachable state was visited. */
   readonly complete: boolean;
-  /** First fault found; the visit ends with it. */
+  /** First fault found, at which the visit stops. */
   readonly fault: ModelFault<State> | undefined;
 }
 
-/** A state with the step by which it was first reached. */
+/** A state with the predecessor and the step by which it was first reached. */
 interface Visited<State> {
   readonly state: State;
   readonly from: Visited<State> | undefined;
   readonly step: string;
 }
 
-/** Visits states up to `limit`; `onState` sees each once. */
+/** Visits the states breadth first until `limit` states are known, and calls `onState` once for each one visited. */
 export function visitAll<State>(
   model: Model<State>,
   limit: number,
--- a/packages/measure/src/model/explore.ts
+++ b/packages/measure/src/model/explore.ts
@@ -1,5 +1,5 @@
 /**
- * Explores the model: every interleaving of a small one, or random walks through a larger one.
+ * Explores the promotion model: every interleaving of a small one, or random walks through a larger one.
  */
 import type { RandomSource } from '@gladespool/coordination';
 import { AckDecision, GroupPhase, UpstreamRole } from '@gladespool/coordination';
@@ -9,21 +9,24 @@
 import type { ModelRules } from './model-steps.js';
 import { stepsFrom } from './model-steps.js';
 
-/** Result of an exploration. */
+/** Result of an exploration, with the numbers of states visited. */
 export interface Exploration {
   readonly states: number;
   readonly confirmed: number;
   readonly superseded: number;
   /** Whether every reachable state was visited. */
   readonly complete: boolean;
-  /** First violation with the steps that led to it. */
+  /** First violation found, with the steps that lead to it. */
   readonly violation: Violation | undefined;
 }
 
-/** A state that must not be, and how it came about. */
+/** A state that violates an invariant, with the steps that lead to it. */
 export type Violation = ModelFault<ModelState>;
 
-/** What is wrong with a state; undefined when all holds. */
+/**
+ * Describes the invariant that the state violates; undefined if it violates none. No two primaries may share a term,
+ * and the log of the serving primary must hold every confirmed write and no write that was reported as superseded.
+ */
 export function faultOf(state: ModelState): string | undefined {
   const terms = state.upstreams
     .filter((upstream) => upstream.role === UpstreamRole.Primary)
@@ -40,7 +43,7 @@
   return undefined;
 }
 
-/** Visits every state that can be reached, up to `limit`. */
+/** Visits every reachable state, up to `limit` states. */
 export function exploreAll(initial: ModelState, rules: ModelRules, limit: number): Exploration {
   let confirmed = 0;
   let superseded = 0;
@@ -59,7 +62,7 @@
   return { states, confirmed, superseded, complete, violation: fault };
 }
 
-/** Walks at random, `walks` times at most `length` steps. */
+/** Makes `walks` random walks from the initial state, each of at most `length` steps. */
 export function walkAtRandom(
   initial: ModelState,
   rules: ModelRules,
--- a/packages/measure/src/model/model-state.ts
+++ b/packages/measure/src/model/model-state.ts
@@ -1,6 +1,6 @@
 /**
- * A small model of one group: three upstreams, one home that confirms writes, promoters that run
- * the very state machine of the library, and a store with compare-and-swap.
+ * State of a small model of one group: three upstreams, one home host that confirms writes, promoters that run
+ * the library's own promotion state machine, and a store with compare-and-swap.
  */
 import type {
   AckDecision,
@@ -21,7 +21,7 @@
   UpstreamRole,
 } from '@gladespool/coordination';
 
-/** An upstream of the model. */
+/** State of one upstream. */
 export interface ModelUpstream {
   readonly id: UpstreamId;
   readonly up: boolean;
@@ -30,36 +30,36 @@
   readonly fenced: number;
   readonly lineage: Lineage;
   readonly following: UpstreamId | undefined;
-  /** Writes by number, in log order. */
+  /** Numbers of the writes that the log holds, in log order. */
   readonly log: readonly number[];
 }
 
-/** A write of the model. */
+/** A write, with its position once it is committed and the decision once it is reported to the caller. */
 export interface ModelWrite {
   readonly position: Position | undefined;
   readonly told: AckDecision | undefined;
 }
 
-/** An action under way; it may outlive the attempt that ordered it. */
+/** An action in progress; it may outlive the promotion attempt that requested it. */
 export interface PendingAction {
   readonly attempt: string;
   readonly action: PromotionAction;
 }
 
-/** A promoter with what it has yet to carry out. */
+/** A promoter with the actions that it has yet to carry out. */
 export interface ModelPromoter {
   readonly state: PromotionState | undefined;
   readonly actions: readonly PendingAction[];
   readonly attempts: number;
 }
 
-/** Faults that may still happen. */
+/** Numbers of upstream crashes and of lost replies or abandoned attempts that may still happen. */
 export interface FaultBudget {
   readonly crashes: number;
   readonly losses: number;
 }
 
-/** A state of the whole model. */
+/** State of the whole model; `known` is the record as the home host knows it. */
 export interface ModelState {
   readonly upstreams: readonly ModelUpstream[];
   readonly record: GroupRecord;
@@ -71,21 +71,21 @@
   readonly budget: FaultBudget;
 }
 
-/** Names of the model's upstreams. */
+/** Ids of the upstreams. */
 export const MEMBERS: readonly UpstreamId[] = ['a', 'b', 'c'].map(upstreamId);
 
-/** Size of a model. */
+/** Bounds of the model: numbers of writes, promoters and faults. */
 export interface ModelSize {
   readonly writes: number;
   readonly promoters: number;
   readonly budget: FaultBudget;
 }
 
-/** The state before anything happened: `a` is the primary of term 1. */
+/** Returns the initial state, in which `a` is the primary of term 1. */
 export function initialState(size: ModelSize): ModelState {
   const lineage: Lineage = [{ term: 1, start: 0 }];
   const [primary] = MEMBERS;
-  if (primary === undefined) throw new Error('no members');
+  if (primary === undefined) throw new Error('the model has no upstreams');
   const record: GroupRecord = {
     group: groupId('g'),
     term: 1,
@@ -121,7 +121,10 @@
   };
 }
 
-/** How an upstream of the model reports; a broken one reports the term it merely follows. */
+/**
+ * Returns the report of an upstream. With `followedTerm`, the upstream wrongly reports the term that it follows, even
+ * if its log has not reached the start of that term.
+ */
 export function reportOf(upstream: ModelUpstream, followedTerm = false): UpstreamReport {
   const offset = upstream.log.length;
   const reached = Math.min(upstream.term, termAt(upstream.lineage, offset));
--- a/packages/measure/src/model/model-steps.ts
+++ b/packages/measure/src/model/model-steps.ts
@@ -1,5 +1,5 @@
 /**
- * Every step that the model can take from a state, faults included.
+ * Enumerates the steps that the model can take from a state, faults included.
  */
 import type {
   AcknowledgementRule,
@@ -23,30 +23,29 @@
 import type { ModelPromoter, ModelState, ModelUpstream, PendingAction } from './model-state.js';
 import { MEMBERS, reportOf } from './model-state.js';
 
-/** What of the model is built as designed, and what is deliberately broken. */
+/** Rules of the model; each can be broken deliberately, to check that the exploration finds the violation. */
 export interface ModelRules {
   readonly acknowledgement: AcknowledgementRule;
-  /** Whether fences hold. */
+  /** Whether a fence takes effect on the upstream. */
   readonly fences: boolean;
-  /** Whether upstreams report the term they follow although their log has not reached its start. */
+  /** Whether upstreams report the term that they follow even if their log has not reached its start. */
   readonly reportsFollowedTerm: boolean;
-  /** Whether a promoter reads the record back in the same step as its swap; makes the model smaller. */
+  /** Whether a promoter reads the record back in the same step as its swap, which reduces the number of states. */
   readonly eagerReads: boolean;
-  /** Attempts of each promoter. */
+  /** Maximum number of attempts of each promoter. */
   readonly attempts: number;
 }
 
-/** A step with its name. */
 export type NamedStep = ModelStep<ModelState>;
 
-/** Steps from a state. */
+/** Returns the steps from a state. */
 export function stepsFrom(state: ModelState, rules: ModelRules): readonly NamedStep[] {
   const steps = allSteps(state, rules);
   if (!rules.eagerReads) return steps;
   return steps.map(({ name, next }) => ({ name, next: withReads(next, rules) }));
 }
 
-/** Carries out the reads of the record that are under way. */
+/** Carries out every pending read of the record. */
 function withReads(state: ModelState, rules: ModelRules): ModelState {
   for (const [index, promoter] of state.promoters.entries()) {
     const at = promoter.actions.findIndex(({ action }) => action.kind === 'read-record');
@@ -74,7 +73,7 @@
 
 function find(state: ModelState, id: UpstreamId): ModelUpstream {
   const found = state.upstreams.find((upstream) => upstream.id === id);
-  if (found === undefined) throw new Error(`no upstream ${id}`);
+  if (found === undefined) throw new Error(`unknown upstream ${id}`);
   return found;
 }
 
@@ -82,7 +81,7 @@
   return upstream.up && upstream.role === UpstreamRole.Primary && upstream.fenced <= upstream.term;
 }
 
-/** The home sends the next write to the primary that it knows. */
+/** The home host commits the next write on the primary that it knows. */
 function commits(state: ModelState, rules: ModelRules): readonly NamedStep[] {
   const index = state.writes.findIndex((write) => write.position === undefined);
   const primary = find(state, state.known.primary);
@@ -97,7 +96,7 @@
   return [{ name: `commit ${index} on ${primary.id}`, next: judged(next, rules) }];
 }
 
-/** Tells every commit whose verdict is known. */
+/** Reports the decision on every commit for which the acknowledgement rule now has one. */
 function judged(state: ModelState, rules: ModelRules): ModelState {
   const writes = state.writes.map((write) => {
     if (write.position === undefined || write.told !== undefined) return write;
@@ -188,7 +187,7 @@
   if (state.known === state.record) return [];
   if (JSON.stringify(state.known) === JSON.stringify(state.record)) return [];
   const next = judged({ ...state, known: state.record }, rules);
-  return [{ name: 'home learns record', next }];
+  return [{ name: 'home reads record', next }];
 }
 
 function promoterSteps(
@@ -222,7 +221,7 @@
   return [...steps, ...gaveUp(state, promoter, index)];
 }
 
-/** The wait for upstreams that need not be avoided ends when it would change something. */
+/** Ends the wait for candidates that need not be avoided, if that changes the stage of the promotion. */
 function graceOver(
   state: ModelState,
   promoter: ModelPromoter,
@@ -231,10 +230,10 @@
   const attempt = promoter.state?.record.attempt ?? '';
   const next = fed(state, promoter, index, attempt, { kind: 'grace-over' });
   const moves = next.promoters[index]?.state?.stage !== promoter.state?.stage;
-  return moves ? [{ name: `p${index} waits no longer`, next }] : [];
+  return moves ? [{ name: `p${index} ends its grace period`, next }] : [];
 }
 
-/** The promoter dies, or its time is over. */
+/** The promoter crashes, or its attempt times out. */
 function gaveUp(state: ModelState, promoter: ModelPromoter, index: number): readonly NamedStep[] {
   const lost = loseOne(state);
   const attempt = promoter.state?.record.attempt ?? '';
@@ -246,7 +245,7 @@
   return { ...state, budget: { ...state.budget, losses: state.budget.losses - 1 } };
 }
 
-/** Feeds an outcome to the attempt that ordered it; one that has ended meanwhile hears nothing. */
+/** Passes an outcome to the attempt that requested the action; it is dropped if that attempt has ended meanwhile. */
 function fed(
   state: ModelState,
   promoter: ModelPromoter,
