--- a/packages/measure/src/authority-model/authority-model.ts
+++ b/packages/measure/src/authority-model/authority-model.ts
@@ -1,6 +1,6 @@
 /**
- * The steps of the authority model, taken by the library's own decisions. Only the last host writes and
- * renews its proof: hosts don't differ, and what one of them does wrong needs no second one.
+ * Steps of the authority model, which call the library's own decision functions. Only the last host writes and
+ * renews its proof: all hosts behave alike, and one host that does something wrong is enough to find the fault.
  */
 import type { AuthorityView, Position, PrimaryRecord } from '@gladespool/coordination';
 import {
@@ -17,37 +17,40 @@
 import type { AuthorityState, ModelHost, ModelUpstream, ModelWrite } from './authority-state.js';
 import { CLAIM, FORMER, initialAuthority, MODEL_RULES } from './authority-state.js';
 
-/** What is done as designed, or wrongly on purpose. */
+/** The protocol as designed, or with one rule broken deliberately. */
 export enum Variant {
   Designed = 'designed',
-  /** The proof is not looked at again when a write's answer comes. */
+  /** The proof is not checked again when the reply to a write arrives. */
   NoProofAfterAnswer = 'no proof after the answer',
-  /** Silent hosts are not waited for. */
+  /** The proofs of unresponsive hosts are not waited out. */
   NoWait = 'claim without waiting',
-  /** Silent hosts are waited for from the claim on, though hosts may renew one another's proofs. */
+  /**
+   * The wait for the proofs of unresponsive hosts to expire is counted from the claim, although hosts may still renew
+   * one another's proofs after that.
+   */
   WaitFromClaim = 'wait counted from the claim',
-  /** A host whose entry is gone from the store counts as one that has given the primary up. */
+  /** A host whose entry is gone from the store is taken to have revoked its use of the primary. */
   AbsenceIsProof = "a key's absence taken as proof",
-  /** The birth that the primary's entry tells is not compared with the record's. */
+  /** The start time in the primary's entry is not compared with the one in the record. */
   BirthIgnored = 'birth ignored',
-  /** An answer counts although the primary has gone back behind what it had told. */
+  /** A reply counts even if the primary has regressed behind a position that it had reported. */
   PositionIgnored = 'position ignored',
-  /** A host acknowledges a claim without taking it over. */
+  /** A host acknowledges a claim without adopting its record. */
   AcknowledgeOnly = 'acknowledged without being taken over',
 }
 
 /** Bounds of one exploration. */
 export interface AuthorityBounds {
   readonly hosts: number;
-  /** Ticks after which time stands still. */
+  /** Time at which the clock stops, in ticks. */
   readonly ticks: number;
-  /** Whether hosts also renew one another's proofs; with this, the store answers nobody's reads. */
+  /** Whether the store answers no reads, so that hosts renew one another's proofs instead. */
   readonly storeAway: boolean;
-  /** Whether the primary may start anew under its id. */
+  /** Whether the primary may restart with an empty log under the same id. */
   readonly bornAnew: boolean;
 }
 
-/** The model of one variant. */
+/** Creates the model of one variant. */
 export function authorityModel(variant: Variant, bounds: AuthorityBounds): Model<AuthorityState> {
   return {
     initial: initialAuthority(bounds.hosts, !bounds.bornAnew),
@@ -82,7 +85,7 @@
   return steps;
 }
 
-/** Sends a write under authority, or takes its answer. */
+/** Sends a write if the host has authority, or handles the reply to the one in flight. */
 function writeSteps(state: AuthorityState, index: number, variant: Variant): readonly Step[] {
   const host = hostAt(state, index);
   const { record, floor, writing } = host;
@@ -121,19 +124,19 @@
   return { term: FORMER.epoch, offset };
 }
 
-/** Whether the primary has started anew and the host had read so, or had seen more of its log before. */
+/** Whether the primary has restarted, and the host has read the new start time or had seen a later position. */
 function hadLostLog(primary: ModelUpstream, writing: ModelWrite, host: ModelHost): boolean {
   if (primary.born === FORMER.born) return false;
   const floor = writing.floor?.offset ?? 0;
   return host.primaryStartTime === primary.born || floor > primary.offset;
 }
 
-/** Starts the primary anew, lets it write its entry, or lets a host read that. */
+/** Restarts the primary, lets it write its entry with the new start time, or lets a host read that entry. */
 function birthSteps(state: AuthorityState, index: number): readonly Step[] {
   const { primary } = state;
   if (primary.born === FORMER.born) {
     const anew = { ...primary, born: primary.born + 1, offset: 0 };
-    return [{ name: 'upstream born anew', next: { ...state, primary: anew } }];
+    return [{ name: 'upstream restarts', next: { ...state, primary: anew } }];
   }
   if (primary.told !== primary.born) {
     const told = { ...primary, told: primary.born };
@@ -144,7 +147,7 @@
   return [{ name: `${index} reads the entry`, next: read }];
 }
 
-/** Sends a read of the store, lets the store answer, or lets the answer arrive. */
+/** Sends a read to the store, lets the store answer it, or lets the reply arrive. */
 function readSteps(state: AuthorityState, index: number): readonly Step[] {
   const { read } = hostAt(state, index);
   if (read === undefined) {
@@ -160,12 +163,12 @@
   return [{ name: `${index} has read`, next: withHost(state, index, proved) }];
 }
 
-/** Begins a round of renewals, lets another host answer, or lets an answer arrive. */
+/** Begins a renewal round, lets another host reply to it, lets a reply arrive, or abandons the round. */
 function roundSteps(state: AuthorityState, index: number): readonly Step[] {
   const { round } = hostAt(state, index);
   if (round === undefined) {
     const begun = { sentAt: state.now, answered: [index], underWay: [] };
-    return [{ name: `${index} asks`, next: withHost(state, index, { round: begun }) }];
+    return [{ name: `${index} requests renewal`, next: withHost(state, index, { round: begun }) }];
   }
   const told = new Set([...round.answered, ...round.underWay.map(({ from }) => from)]);
   const asked = [...state.hosts.keys()].filter((other) => !told.has(other));
@@ -175,14 +178,17 @@
     return { name: `${from} answers ${index}`, next: withHost(state, index, { round: next }) };
   });
   const arrivals = round.underWay.map((answer) => ({
-    name: `${index} hears ${answer.from}`,
+    name: `${index} receives the reply of ${answer.from}`,
     next: withHost(state, index, heard(state, index, answer.from)),
   }));
-  const over = { name: `${index} gives up`, next: withHost(state, index, { round: undefined }) };
+  const over = {
+    name: `${index} abandons the round`,
+    next: withHost(state, index, { round: undefined }),
+  };
   return [...answers, ...arrivals, over];
 }
 
-/** The host after another one's answer to its round. */
+/** Changes to a host when a reply to its renewal round arrives. */
 function heard(state: AuthorityState, index: number, from: number): Partial<ModelHost> {
   const host = hostAt(state, index);
   const { round } = host;
@@ -200,10 +206,12 @@
 
 function vanishSteps(state: AuthorityState, index: number): readonly Step[] {
   if (index === 0 || !hostAt(state, index).listed) return [];
-  return [{ name: `entry of ${index} goes`, next: withHost(state, index, { listed: false }) }];
+  return [
+    { name: `entry of ${index} disappears`, next: withHost(state, index, { listed: false }) },
+  ];
 }
 
-/** Claims the record, revokes the former primary, and calls for another one. */
+/** Claims the record, has hosts revoke the former primary, and calls for the promotion of another one. */
 function changeSteps(state: AuthorityState, variant: Variant): readonly Step[] {
   const { change, now } = state;
   if (change === undefined) {
@@ -222,7 +230,7 @@
 }
 
 function revoke(state: AuthorityState, index: number, variant: Variant): Step {
-  const name = `${index} gives up`;
+  const name = `${index} revokes the former primary`;
   const { change } = state;
   const host = hostAt(state, index);
   const { record } = take(host, CLAIM);
@@ -255,7 +263,7 @@
 
 function hostAt(state: AuthorityState, index: number): ModelHost {
   const host = state.hosts[index];
-  if (host === undefined) throw new RangeError(`no host ${index}`);
+  if (host === undefined) throw new RangeError(`unknown host ${index}`);
   return host;
 }
 
--- a/packages/measure/src/authority-model/authority-state.ts
+++ b/packages/measure/src/authority-model/authority-state.ts
@@ -1,12 +1,12 @@
 /**
- * A small model of who may use a primary while it is being changed: hosts with proofs of various
- * ages, a store that may answer late or not at all, and one host that replaces the primary. Whether a
- * message arrives, and when, is left open; time runs in whole ticks.
+ * State of a small model of which hosts may use a primary while it is being replaced: hosts with proofs of various
+ * ages, a store that may reply late or not at all, and one host that replaces the primary. Messages may arrive at
+ * any time or never; time runs in whole ticks.
  */
 import type { AuthorityRules, StartTime, Position, PrimaryRecord } from '@gladespool/coordination';
 import { groupId, hostId, RecordPhase, upstreamId } from '@gladespool/coordination';
 
-/** An answer under way, as it was when the other side gave it. */
+/** A reply in flight, with the record that the other host had when it sent the reply. */
 export interface LateAnswer {
   readonly from: number;
   readonly record: PrimaryRecord;
@@ -15,54 +15,54 @@
 /** A read of the store by one host. */
 export interface ModelRead {
   readonly sentAt: number;
-  /** What the store answered; undefined until it did. */
+  /** Record that the store returned; undefined until it has replied. */
   readonly answer: PrimaryRecord | undefined;
 }
 
-/** A round in which a host asks the others to renew its proof. */
+/** A round in which a host requests that the others renew its proof. */
 export interface ModelRound {
   readonly sentAt: number;
-  /** Hosts whose answers have arrived, this one included. */
+  /** Hosts whose replies have arrived, this one included. */
   readonly answered: readonly number[];
   readonly underWay: readonly LateAnswer[];
 }
 
-/** A write under way, as it was when it was sent. */
+/** A write in flight, with the record and the furthest known position of the host when it was sent. */
 export interface ModelWrite {
   readonly record: PrimaryRecord;
   readonly floor: Position | undefined;
 }
 
-/** The upstream that the former record names. */
+/** The upstream that the former record names as primary. */
 export interface ModelUpstream {
   readonly born: number;
-  /** Birth that its entry tells. */
+  /** Start time in its entry in the store. */
   readonly told: number;
   readonly offset: number;
 }
 
-/** A host of the model. */
+/** State of one host. */
 export interface ModelHost {
   readonly record: PrimaryRecord;
   readonly provedAt: number;
   readonly read: ModelRead | undefined;
   readonly round: ModelRound | undefined;
-  /** The write that has not been answered yet. */
+  /** The write that awaits its reply. */
   readonly writing: ModelWrite | undefined;
-  /** Birth that the primary's entry tells, as this host has read it. */
+  /** Start time in the primary's entry, as this host last read it. */
   readonly primaryStartTime: StartTime;
-  /** Furthest position that an answer of the primary has told. */
+  /** Furthest position that a reply of the primary has reported. */
   readonly floor: Position | undefined;
   /** Whether the host's entry is still in the store. */
   readonly listed: boolean;
 }
 
-/** The change of the primary by host 0. */
+/** The replacement of the primary by host 0. */
 export interface ModelChange {
   readonly claimedAt: number;
-  /** Hosts that said that they have given the former primary up, this one included. */
+  /** Hosts that have acknowledged that they no longer use the former primary, host 0 included. */
   readonly acknowledged: readonly number[];
-  /** When more than half had said so; undefined before. */
+  /** Time at which a majority had acknowledged; undefined before. */
   readonly majorityAt: number | undefined;
   readonly called: boolean;
 }
@@ -76,17 +76,17 @@
   readonly change: ModelChange | undefined;
   /** Whether a write was confirmed under the former primary after the call for another one. */
   readonly lateConfirmation: boolean;
-  /** Whether a write was confirmed that ran at an upstream known to have lost those before. */
+  /** Whether a write was confirmed that ran on an upstream known to have lost earlier writes. */
   readonly lostConfirmation: boolean;
 }
 
-/** Times of the model, in ticks: a proof lives two. */
+/** Times of the model, in ticks: a proof is valid for two. */
 export const MODEL_RULES: AuthorityRules = { proofTtlMs: 2, marginMs: 0, hostListTtlMs: 100 };
 
-/** Birth of the primary that the first record names. */
+/** Start time of the primary that the first record names. */
 const FIRST_BIRTH = 1;
 
-/** The record before the change. */
+/** The record before the replacement. */
 export const FORMER: PrimaryRecord = {
   group: groupId('g'),
   epoch: 1,
@@ -99,10 +99,10 @@
 /** The record that host 0 claims. */
 export const CLAIM: PrimaryRecord = { ...FORMER, epoch: 2, phase: RecordPhase.Claimed };
 
-/** Where the primary's log ends at first. */
+/** Initial end of the primary's log. */
 const FIRST_OFFSET = 1;
 
-/** `count` hosts, each just proved, that know where the primary's log ends, or don't. */
+/** Returns the initial state: `count` hosts with fresh proofs, which know the end of the primary's log or do not. */
 export function initialAuthority(count: number, knowsPosition: boolean): AuthorityState {
   const host: ModelHost = {
     record: FORMER,
--- a/packages/measure/src/successor-model/successor-model.ts
+++ b/packages/measure/src/successor-model/successor-model.ts
@@ -1,7 +1,7 @@
 /**
- * A small model of who leads a group after one loss of its primary: attempts that follow one another, and calls for
- * promotions that take effect at any time, also long after they were given up. Steps are taken by the library's own
- * decisions about records.
+ * A small model of which upstream becomes primary after a group has lost its primary once: successive promotion
+ * attempts, and calls for promotions that take effect at any time, even long after the attempt was abandoned. The steps
+ * call the library's own functions on records.
  */
 import type { NamedSuccessor, PrimaryRecord, UpstreamId } from '@gladespool/coordination';
 import {
@@ -16,32 +16,32 @@
 } from '@gladespool/coordination';
 import type { Model, ModelStep } from '../model/breadth-first.js';
 
-/** What is done as designed, or wrongly on purpose. */
+/** The protocol as designed, or with one rule broken deliberately. */
 export enum SuccessorVariant {
   Designed = 'designed',
-  /** Each attempt chooses anew, whatever the one before has called for. */
+  /** Each attempt chooses a successor independently of the one that the previous attempt called for. */
   ChoosesAnew = 'each attempt chooses anew',
-  /** The successor is called for before the record names it. */
+  /** The promotion of the successor is called for before the record names it. */
   CallsFirst = 'called before it is named',
 }
 
 /** One state of the model. */
 export interface SuccessorState {
   readonly record: PrimaryRecord;
-  /** The upstream that the attempt under way has chosen; undefined between attempts. */
+  /** The upstream that the current attempt has chosen; undefined between attempts. */
   readonly chosen: UpstreamId | undefined;
-  /** Whether the attempt under way has called for it. */
+  /** Whether the current attempt has called for its promotion. */
   readonly called: boolean;
-  /** Calls that have not taken effect, in no order. */
+  /** Upstreams of the calls that have not taken effect yet; these may do so in any order. */
   readonly pending: readonly UpstreamId[];
   readonly leader: UpstreamId | undefined;
 }
 
 type Step = ModelStep<SuccessorState>;
 
-/** Epochs after which no attempt begins; the loss is that of epoch 1. */
+/** Epoch from which on no further attempt begins; the lost primary is that of epoch 1. */
 const LAST_EPOCH = 4;
-/** Calls under way at most. */
+/** Maximum number of pending calls. */
 const MAX_PENDING = 3;
 const REPLICAS = [upstreamId('u1'), upstreamId('u2')];
 const HOLDER = hostId('h');
@@ -54,7 +54,7 @@
 };
 const REACHED = { isThere: true, isEvacuated: false, isRefused: false };
 
-/** The model of one variant. */
+/** Creates the model of one variant. */
 export function successorModel(variant: SuccessorVariant): Model<SuccessorState> {
   return {
     initial: { record: LOST, chosen: undefined, called: false, pending: [], leader: undefined },
@@ -73,7 +73,7 @@
   const { record, chosen, called, leader } = state;
   if (chosen === undefined) return claims(state, variant);
   const steps: Step[] = [
-    { name: 'gives up', next: { ...state, chosen: undefined, called: false } },
+    { name: 'abandons the attempt', next: { ...state, chosen: undefined, called: false } },
   ];
   const isNamed = record.successor?.id === chosen;
   if (!isNamed) {
@@ -93,7 +93,7 @@
   return steps;
 }
 
-/** Attempts after the loss, or in the place of a claim that has stalled. */
+/** Starts an attempt after the loss, or one that replaces a stalled claim. */
 function claims(state: SuccessorState, variant: SuccessorVariant): readonly Step[] {
   const { record } = state;
   const isOver = record.phase === RecordPhase.Serving && record.epoch > LOST.epoch;
@@ -108,12 +108,12 @@
   }));
 }
 
-/** One of the calls under way takes effect. */
+/** One of the pending calls takes effect. */
 function effects(state: SuccessorState): readonly Step[] {
   return [...new Set(state.pending)].map((leader) => {
     const at = state.pending.indexOf(leader);
     const pending = state.pending.filter((_, index) => index !== at);
-    return { name: `${leader} takes the lead`, next: { ...state, pending, leader } };
+    return { name: `${leader} becomes primary`, next: { ...state, pending, leader } };
   });
 }
 
