--- a/packages/measure/src/era-model/era-model.ts
+++ b/packages/measure/src/era-model/era-model.ts
@@ -1,5 +1,5 @@
 /**
- * The steps of the model of a store that loses its last changes, taken by the library's own decisions.
+ * Steps of the model of a store that loses its last changes, which call the library's own decision functions.
  */
 import type { PreviousEraHosts, PrimaryRecord } from '@gladespool/coordination';
 import {
@@ -20,32 +20,32 @@
 import type { EraHost, EraState, ModelStore } from './era-state.js';
 import { ERA_RULES, FIRST_FENCE, FORMER, HOSTS, initialEra } from './era-state.js';
 
-/** What is done as designed, or wrongly on purpose. */
+/** The protocol as designed, or with one rule broken deliberately. */
 export enum EraVariant {
   Designed = 'designed',
   /** A read of the store proves a record before the era is opened. */
   ProofBeforeOpening = 'proof before the era is opened',
-  /** The era is opened without writing records back. */
+  /** The era is opened without writing the newest known records back to the store. */
   NothingWrittenBack = 'opened with the records of the copy',
-  /** The era is opened by whoever sees it, without asking. */
+  /** The era is opened by any host that sees it, without the replies of a majority. */
   OpenedAlone = 'opened without a majority',
-  /** The fence goes on from the copy's, whoever was heard. */
+  /** The fence continues from the one in the copy, whichever hosts have replied. */
   FenceNotRaised = 'fence not raised',
-  /** A claim that the store has lost meanwhile is gone on with. */
+  /** A host proceeds with a claim that the store has lost meanwhile. */
   LostClaimUsed = 'claim lost while its call is under way',
 }
 
 type Step = ModelStep<EraState>;
 
-/** Host that changes the primary first. */
+/** Host that replaces the primary first. */
 const CHANGER = 0;
-/** Host that opens eras, and calls for a promotion after that. */
+/** Host that opens eras, and calls for a promotion afterwards. */
 const OPENER = 1;
-/** Hosts that read the store; the changer hears of it by its own changes. */
+/** Hosts that read the store; the changer learns its content from its own changes. */
 const READERS: readonly number[] = [OPENER, 2];
-/** Age from which nothing depends on how old something is, ticks. */
+/** Age beyond which no decision depends on the exact age, in ticks. */
 const OLD = ERA_RULES.proofTtlMs + 1;
-/** Changes that the store loses at most. */
+/** Maximum number of changes that the store loses at once. */
 const MAX_LOST = 3;
 const SUCCESSOR = {
   id: upstreamId('u1'),
@@ -54,7 +54,7 @@
   received: { term: 1, offset: 1 },
 };
 
-/** The model of one variant, in which the store comes back from a copy `returns` times at most, at any time. */
+/** Creates the model of one variant, in which the store may be restored from a copy up to `returns` times. */
 export function eraModel(variant: EraVariant, returns: number): Model<EraState> {
   return {
     initial: initialEra(),
@@ -64,7 +64,7 @@
   };
 }
 
-/** States that differ in nothing but how long ago something old was are the same. */
+/** Caps ages at `OLD`, so that states that differ only in larger ages count as equal. */
 function keyOf({ now, hosts, change, history, ...rest }: EraState): string {
   const ageOf = (at: number | undefined): number | undefined => at && Math.min(OLD, now - at);
   const aged = hosts.map((host) => ({
@@ -97,18 +97,18 @@
   return steps;
 }
 
-/** The store loses its last changes. */
+/** The store is restored from a copy without its last changes, which begins a new era. */
 function returnSteps(state: EraState): readonly Step[] {
   const { store, history } = state;
   const copies = [...history, store].slice(-1 - MAX_LOST);
   return copies.map((copy, index) => {
     const restored = { ...copy, era: store.era + 1, isOpened: false };
-    const name = `store comes back without ${copies.length - 1 - index} changes`;
+    const name = `store is restored without ${copies.length - 1 - index} changes`;
     return { name, next: { ...state, store: restored, history: [] } };
   });
 }
 
-/** A host reads the store; the read proves its record where the era can be relied on. */
+/** A host reads the store; the read proves its record if the era is open and the store's record is not older. */
 function readStep(state: EraState, index: number, variant: EraVariant): Step {
   const { store, now } = state;
   const host = hostAt(state, index);
@@ -124,7 +124,7 @@
   return { name: `${index} reads`, next: withHost(state, index, read) };
 }
 
-/** Another host renews the proof of host 2: two of three are more than half. */
+/** Another host renews the proof of host 2: two of three hosts are a majority. */
 function renewalSteps(state: EraState): readonly Step[] {
   return [CHANGER, OPENER].map((other) => {
     const told = hostAt(state, other);
@@ -134,7 +134,7 @@
   });
 }
 
-/** Claims the record, revokes the former primary, names another one and calls for it. */
+/** Claims the record, has hosts revoke the former primary, names a successor and calls for its promotion. */
 function changeSteps(state: EraState, variant: EraVariant): readonly Step[] {
   const { change, store } = state;
   if (change === undefined) return beginSteps(state);
@@ -152,7 +152,7 @@
   return steps;
 }
 
-/** A claim is sent only in an era that can be relied on. */
+/** Sends a claim, which the changer does only in an era that it can rely on: here, the first one. */
 function beginSteps(state: EraState): readonly Step[] {
   const host = hostAt(state, CHANGER);
   if (host.era !== 0 || recordRank(host.record) !== recordRank(FORMER)) return [];
@@ -166,7 +166,7 @@
   return [{ name: 'claim is sent', next: { ...state, change } }];
 }
 
-/** The claim arrives, be it late: it is made if the record is as it was and the next era is not opened. */
+/** The claim arrives, perhaps late: it is stored if the record is unchanged and no later era has been opened. */
 function claimArrives(state: EraState): Step {
   const { change, store } = state;
   const holds = recordRank(store.record) === recordRank(FORMER) && isFirstEra(store);
@@ -175,7 +175,7 @@
   }
   const claim = claimedRecord(FORMER, hostId('0'), undefined);
   const changed = changeStore(state, { record: claim, fence: FIRST_FENCE });
-  // What was done in another era than the conditions are of counts as not done.
+  // A write that took effect in another era than the one of its conditions counts as not done.
   if (store.era !== 0)
     return { name: 'claim is made late', next: { ...changed, change: undefined } };
   const claimed = { ...changed, change: { ...change, era: store.era } };
@@ -188,7 +188,7 @@
 }
 
 function revoke(state: EraState, index: number): Step {
-  const name = `${index} gives up`;
+  const name = `${index} revokes the former primary`;
   const { change } = state;
   const claim = claimedRecord(FORMER, hostId('0'), undefined);
   const host = take(hostAt(state, index), claim, 0);
@@ -200,14 +200,14 @@
   return { name, next: withHost(next, index, host) };
 }
 
-/** Whether every host has surely given the former primary up, as the changer sees it. */
+/** Whether the changer knows that no host uses the former primary: all have revoked it, or all proofs have expired. */
 function isFree({ change, now }: EraState): boolean {
   if (change?.majorityAt === undefined) return false;
   if (change.acknowledged.length === HOSTS) return true;
   return now >= proofsExpiredAt(change.majorityAt, ERA_RULES);
 }
 
-/** Names the successor under the condition that the claim is what the store holds. */
+/** Names the successor, on condition that the store still holds the claim. */
 function nameStep(state: EraState, variant: EraVariant): Step {
   const { change, store } = state;
   const claim = claimedRecord(FORMER, hostId('0'), undefined);
@@ -222,7 +222,7 @@
   return { name: 'named', next: { ...changed, change: { ...change, isNamed: true } } };
 }
 
-/** The opener opens the era that it has seen, with the answers of any of the other hosts. */
+/** The opener opens the era that it has read, with replies from any subset of the other hosts. */
 function openingSteps(state: EraState, variant: EraVariant): readonly Step[] {
   const { store, now } = state;
   const opener = hostAt(state, OPENER);
@@ -263,7 +263,7 @@
   return { name, next: withHost(changeStore(state, opened), OPENER, knows) };
 }
 
-/** The opener takes the duty over, once the window of any holder before is over, and calls. */
+/** The opener takes over the promotion lease once any previous one has expired, and calls for a promotion. */
 function secondCallSteps(state: EraState): readonly Step[] {
   const { store, now, secondFence } = state;
   const { era, eraSince } = hostAt(state, OPENER);
@@ -284,7 +284,7 @@
 
 function hostAt(state: EraState, index: number): EraHost {
   const host = state.hosts[index];
-  if (host === undefined) throw new RangeError(`no host ${index}`);
+  if (host === undefined) throw new RangeError(`unknown host ${index}`);
   return host;
 }
 
