--- a/packages/measure/src/chaos/chaos-run.ts
+++ b/packages/measure/src/chaos/chaos-run.ts
@@ -1,5 +1,5 @@
 /**
- * A load of many sessions under a random schedule of faults, and the check of its history.
+ * Runs a workload of many sessions under a random schedule of faults, and checks its history.
  */
 import { SeededRandom } from '@gladespool/coordination';
 import type { DeploymentShape } from '../embedded/shape.js';
@@ -12,14 +12,14 @@
 import type { FaultKind } from './fault-schedule.js';
 import { FaultSchedule } from './fault-schedule.js';
 
-/** Options of a run. */
+/** Options of a chaos run. */
 export interface ChaosOptions {
   readonly shape: DeploymentShape;
   readonly seed: number;
   readonly sessions: number;
   /** Requests after which the load stops. */
   readonly requests: number;
-  /** Time between steps of the schedule, milliseconds. */
+  /** Time between steps of the fault schedule, in milliseconds. */
   readonly stepMs: number;
   readonly deadlineMs: number;
   readonly kinds?: readonly FaultKind[];
@@ -27,7 +27,7 @@
   readonly acknowledgement?: string;
 }
 
-/** Result of a run. */
+/** Result of a chaos run. */
 export interface ChaosResult {
   readonly summary: HistorySummary;
   readonly violations: Violations;
@@ -36,7 +36,7 @@
   readonly promotions: number;
 }
 
-/** Runs load and faults, heals, waits until the logs agree, and checks. */
+/** Runs the workload under faults, heals all faults, waits until the logs agree, and checks the history. */
 export async function runChaos(options: ChaosOptions): Promise<ChaosResult> {
   const { shape, seed, settings, acknowledgement } = options;
   const deployment = new Deployment({
@@ -93,7 +93,7 @@
   });
 }
 
-/** Whether in each group all upstreams hold the same log under the same primary. */
+/** Whether in each group all upstreams have logs of equal length and term, and exactly one accepts writes. */
 function logsAgree(deployment: Deployment): boolean {
   return deployment.options.shape.groups.every((group) => {
     const nodes = deployment.upstreamsOf(group).map((server) => server.node);
@@ -104,7 +104,7 @@
   });
 }
 
-/** Rows that ever stood in the agreed logs. */
+/** Keys of all rows that the log of each group's primary ever added. */
 function finalRows(deployment: Deployment): FinalRows {
   const rows = new Set<string>();
   for (const group of deployment.options.shape.groups) {
--- a/packages/measure/src/chaos/fault-schedule.ts
+++ b/packages/measure/src/chaos/fault-schedule.ts
@@ -1,12 +1,12 @@
 /**
- * A random schedule of the faults that the users name, alone, together and twice, from a seed.
+ * A seeded random schedule of the faults that the system must tolerate, one or two at a time and repeatedly.
  */
 import type { RandomSource } from '@gladespool/coordination';
 import { createLogger } from '@gladespool/observability';
 import { StoreFault } from '@gladespool/standins';
 import type { Deployment } from '../embedded/deployment.js';
 
-/** Kinds of faults. */
+/** Kinds of injected faults. */
 export enum FaultKind {
   StopPrimary = 'stop-primary',
   PausePrimary = 'pause-primary',
@@ -20,7 +20,7 @@
   StoreReplyLost = 'store-reply-lost',
 }
 
-/** One fault with its undoing. */
+/** An injected fault and the function that undoes it. */
 interface ActiveFault {
   readonly kind: FaultKind;
   readonly undo: () => Promise<void>;
@@ -31,10 +31,10 @@
 const SLOW_MS = 300;
 const LAG_MS = 2000;
 
-/** Puts faults on a deployment, at most two at once. */
+/** Injects faults into a deployment, at most two at once. */
 export class FaultSchedule {
   private readonly active: ActiveFault[] = [];
-  /** Faults put on so far, by kind. */
+  /** Number of faults injected so far, by kind. */
   readonly counts = new Map<FaultKind, number>();
   private replaced = 0;
   private readonly log = createLogger('chaos');
@@ -45,7 +45,10 @@
     private readonly kinds: readonly FaultKind[] = KINDS,
   ) {}
 
-  /** Puts one more fault on, or undoes the oldest when enough are on. */
+  /**
+   * Injects another fault, or undoes the oldest one: always if two are active, with a probability of one half if one
+   * is. Returns the kind of the injected fault, if any.
+   */
   async step(): Promise<FaultKind | undefined> {
     const enough = this.active.length >= MOST_AT_ONCE;
     if (enough || (this.active.length > 0 && this.random.unit() < 0.5)) {
@@ -62,7 +65,7 @@
     return kind;
   }
 
-  /** Undoes everything. */
+  /** Undoes all active faults and heals the network. */
   async healAll(): Promise<void> {
     for (const fault of this.active.splice(0)) await fault.undo();
     this.deployment.network.heal();
@@ -95,7 +98,7 @@
 
   private pick<Item>(items: readonly Item[]): Item {
     const item = items[this.random.integer(0, items.length - 1)];
-    if (item === undefined) throw new Error('nothing to choose from');
+    if (item === undefined) throw new Error('cannot pick an item from an empty list');
     return item;
   }
 
--- a/packages/measure/src/history/check-history.ts
+++ b/packages/measure/src/history/check-history.ts
@@ -1,20 +1,20 @@
 /**
- * Checks a history against what stands in the logs: each list must be empty.
+ * Checks a history of requests against the rows in the final logs.
  */
 import type { FinalRows, HistoryEvent, ReadEvent, WriteEvent } from './history.js';
 import { Told } from './history.js';
 
-/** Violations by promise. */
+/** Violations by guarantee; every list is empty in a correct history. */
 export interface Violations {
-  /** Confirmed writes that don't stand in the log. */
+  /** Confirmed writes that are missing from the log. */
   readonly lost: readonly WriteEvent[];
-  /** Request ids of which more than one sending stands in the log. */
+  /** Ids of requests that took effect more than once: the log holds rows of several attempts. */
   readonly doubled: readonly string[];
-  /** Writes told as not run that stand in the log. */
+  /** Writes that were reported as not run but are in the log. */
   readonly ranAfterAll: readonly WriteEvent[];
-  /** Session reads that missed a write of the session. */
+  /** Session reads that did not see a confirmed write of their own session. */
   readonly missed: readonly ReadEvent[];
-  /** Reads answered with another session's row. */
+  /** Reads that returned a row of another session. */
   readonly wrongAnswers: readonly ReadEvent[];
 }
 
@@ -43,7 +43,7 @@
   };
 }
 
-/** A repeated request is kept when any of its sendings stands. */
+/** A retried request is lost only if the log holds the row of none of its attempts. */
 function lostWrites(writes: readonly WriteEvent[], rows: FinalRows): readonly WriteEvent[] {
   const standing = new Set<string>();
   for (const write of writes) {
@@ -65,7 +65,7 @@
   return [...sendings].filter(([, held]) => held.size > 1).map(([request]) => request);
 }
 
-/** Counts a history. */
+/** Counts the events and violations of a history. */
 export function summarize(events: readonly HistoryEvent[], violations: Violations): HistorySummary {
   const told = (wanted: Told): number =>
     events.filter((event) => event.kind === 'write' && event.told === wanted).length;
--- a/packages/measure/src/history/history.ts
+++ b/packages/measure/src/history/history.ts
@@ -1,11 +1,11 @@
 /**
- * What callers asked and were told, in the order in which it ended.
+ * History of the requests of callers and their outcomes, in order of completion.
  */
 
-/** What a caller was told about a write. */
+/** Outcome of a write as reported to the caller. */
 export enum Told {
   Confirmed = 'confirmed',
-  /** Refused with ran=no, or failed in a way that rolls back. */
+  /** Refused with `ran=no`, or failed with an error that rolls the write back. */
   NotRun = 'not-run',
   /** Outcome unknown, or the connection was lost. */
   Unknown = 'unknown',
@@ -15,9 +15,9 @@
 export interface WriteEvent {
   readonly kind: 'write';
   readonly session: string;
-  /** Row that the write adds, unique to this sending of the request. */
+  /** Row that the write adds, unique to this attempt of the request. */
   readonly row: string;
-  /** Request id, shared by repeated sendings; undefined for an unmarked write. */
+  /** Request id, shared by retries; undefined for a write without one. */
   readonly request: string | undefined;
   readonly told: Told;
 }
@@ -26,14 +26,14 @@
 export interface ReadEvent {
   readonly kind: 'read';
   readonly session: string;
-  /** Row asked for; the session was told before that it is confirmed. */
+  /** Row that is read; its write was reported to the session as confirmed before. */
   readonly row: string;
-  /** Session that wrote the row found; undefined when none was found. */
+  /** Session that wrote the row; undefined if the row was not found. */
   readonly foundOwner: string | undefined;
 }
 
 /** An event of a history. */
 export type HistoryEvent = WriteEvent | ReadEvent;
 
-/** Rows as they stand in a group's log after all faults are healed. */
+/** Keys of the rows in the logs after all faults are healed. */
 export type FinalRows = ReadonlySet<string>;
