--- a/packages/measure/src/authority-model/authority-model.ts
+++ b/packages/measure/src/authority-model/authority-model.ts
@@ -32,7 +32,7 @@
   /** A host whose entry is gone from the store is taken to have revoked its use of the primary. */
   AbsenceIsProof = "a key's absence taken as proof",
   /** The start time in the primary's entry is not compared with the one in the record. */
-  BirthIgnored = 'birth ignored',
+  StartTimeIgnored = 'birth ignored',
   /** A reply counts even if the primary has regressed behind a position that it had reported. */
   PositionIgnored = 'position ignored',
   /** A host acknowledges a claim without adopting its record. */
@@ -45,15 +45,15 @@
   /** Time at which the clock stops, in ticks. */
   readonly ticks: number;
   /** Whether the store answers no reads, so that hosts renew one another's proofs instead. */
-  readonly storeAway: boolean;
+  readonly storeUnavailable: boolean;
   /** Whether the primary may restart with an empty log under the same id. */
-  readonly bornAnew: boolean;
+  readonly primaryRestarts: boolean;
 }
 
 /** Creates the model of one variant. */
 export function authorityModel(variant: Variant, bounds: AuthorityBounds): Model<AuthorityState> {
   return {
-    initial: initialAuthority(bounds.hosts, !bounds.bornAnew),
+    initial: initialAuthority(bounds.hosts, !bounds.primaryRestarts),
     stepsFrom: (state) => stepsOf(state, variant, bounds),
     faultOf,
     keyOf: (state) => JSON.stringify(state),
@@ -78,9 +78,9 @@
     steps.push({ name: 'tick', next: { ...state, now: state.now + 1 } });
   const writer = state.hosts.length - 1;
   steps.push(...writeSteps(state, writer, variant));
-  steps.push(...(bounds.storeAway ? roundSteps(state, writer) : readSteps(state, writer)));
-  if (variant === Variant.AbsenceIsProof) steps.push(...vanishSteps(state, writer));
-  if (bounds.bornAnew) steps.push(...birthSteps(state, writer));
+  steps.push(...(bounds.storeUnavailable ? roundSteps(state, writer) : readSteps(state, writer)));
+  if (variant === Variant.AbsenceIsProof) steps.push(...entryLossSteps(state, writer));
+  if (bounds.primaryRestarts) steps.push(...restartSteps(state, writer));
   steps.push(...changeSteps(state, variant));
   return steps;
 }
@@ -95,15 +95,15 @@
     const sent = { record, floor };
     return [{ name: `${index} writes`, next: withHost(state, index, { writing: sent }) }];
   }
-  const told = positionOf(state.primary);
-  const wentBack = variant !== Variant.PositionIgnored && hasRegressed(writing.floor, told);
+  const reported = positionOf(state.primary);
+  const regressed = variant !== Variant.PositionIgnored && hasRegressed(writing.floor, reported);
   const holds =
     variant === Variant.NoProofAfterAnswer ||
     isAnswerValid(writing.record, FORMER.primary, view, state.now, MODEL_RULES);
-  const counts = holds && !wentBack;
+  const counts = holds && !regressed;
   const late = counts && writing.record.epoch === FORMER.epoch && state.change?.called === true;
   const lost = counts && hadLostLog(state.primary, writing, host);
-  const change = counts ? { writing: undefined, floor: told } : { writing: undefined };
+  const change = counts ? { writing: undefined, floor: reported } : { writing: undefined };
   const next = {
     ...withHost(state, index, change),
     lateConfirmation: late,
@@ -116,7 +116,7 @@
   { record, provedAt, primaryStartTime }: ModelHost,
   variant: Variant,
 ): AuthorityView {
-  if (variant === Variant.BirthIgnored) return { record, provedAt };
+  if (variant === Variant.StartTimeIgnored) return { record, provedAt };
   return { record, provedAt, primaryStartTime };
 }
 
@@ -132,11 +132,11 @@
 }
 
 /** Restarts the primary, lets it write its entry with the new start time, or lets a host read that entry. */
-function birthSteps(state: AuthorityState, index: number): readonly Step[] {
+function restartSteps(state: AuthorityState, index: number): readonly Step[] {
   const { primary } = state;
   if (primary.born === FORMER.born) {
-    const anew = { ...primary, born: primary.born + 1, offset: 0 };
-    return [{ name: 'upstream restarts', next: { ...state, primary: anew } }];
+    const restarted = { ...primary, born: primary.born + 1, offset: 0 };
+    return [{ name: 'upstream restarts', next: { ...state, primary: restarted } }];
   }
   if (primary.told !== primary.born) {
     const told = { ...primary, told: primary.born };
@@ -158,7 +158,7 @@
     const answered = { ...read, answer: state.store };
     return [{ name: `store answers ${index}`, next: withHost(state, index, { read: answered }) }];
   }
-  const taken = take(hostAt(state, index), read.answer);
+  const taken = adoptRecord(hostAt(state, index), read.answer);
   const proved = { ...taken, provedAt: Math.max(taken.provedAt, read.sentAt), read: undefined };
   return [{ name: `${index} has read`, next: withHost(state, index, proved) }];
 }
@@ -167,19 +167,19 @@
 function roundSteps(state: AuthorityState, index: number): readonly Step[] {
   const { round } = hostAt(state, index);
   if (round === undefined) {
-    const begun = { sentAt: state.now, answered: [index], underWay: [] };
+    const begun = { sentAt: state.now, answered: [index], inFlight: [] };
     return [{ name: `${index} requests renewal`, next: withHost(state, index, { round: begun }) }];
   }
-  const told = new Set([...round.answered, ...round.underWay.map(({ from }) => from)]);
-  const asked = [...state.hosts.keys()].filter((other) => !told.has(other));
+  const replied = new Set([...round.answered, ...round.inFlight.map(({ from }) => from)]);
+  const asked = [...state.hosts.keys()].filter((other) => !replied.has(other));
   const answers = asked.map((from) => {
     const answer = { from, record: hostAt(state, from).record };
-    const next = { ...round, underWay: [...round.underWay, answer] };
+    const next = { ...round, inFlight: [...round.inFlight, answer] };
     return { name: `${from} answers ${index}`, next: withHost(state, index, { round: next }) };
   });
-  const arrivals = round.underWay.map((answer) => ({
+  const arrivals = round.inFlight.map((answer) => ({
     name: `${index} receives the reply of ${answer.from}`,
-    next: withHost(state, index, heard(state, index, answer.from)),
+    next: withHost(state, index, withReply(state, index, answer.from)),
   }));
   const over = {
     name: `${index} abandons the round`,
@@ -189,22 +189,22 @@
 }
 
 /** Changes to a host when a reply to its renewal round arrives. */
-function heard(state: AuthorityState, index: number, from: number): Partial<ModelHost> {
+function withReply(state: AuthorityState, index: number, from: number): Partial<ModelHost> {
   const host = hostAt(state, index);
   const { round } = host;
-  const answer = round?.underWay.find((late) => late.from === from);
+  const answer = round?.inFlight.find((late) => late.from === from);
   if (round === undefined || answer === undefined) return {};
-  const taken = take(host, answer.record);
+  const taken = adoptRecord(host, answer.record);
   const answered = [...round.answered, from].sort();
   const renewal = { listed: state.hosts.length, answered: answered.length, listReadAt: 0 };
   if (isRenewalValid(renewal, state.now, MODEL_RULES)) {
     return { ...taken, provedAt: Math.max(host.provedAt, round.sentAt), round: undefined };
   }
-  const underWay = round.underWay.filter((late) => late.from !== from);
-  return { ...taken, round: { ...round, answered, underWay } };
+  const inFlight = round.inFlight.filter((late) => late.from !== from);
+  return { ...taken, round: { ...round, answered, inFlight } };
 }
 
-function vanishSteps(state: AuthorityState, index: number): readonly Step[] {
+function entryLossSteps(state: AuthorityState, index: number): readonly Step[] {
   if (index === 0 || !hostAt(state, index).listed) return [];
   return [
     { name: `entry of ${index} disappears`, next: withHost(state, index, { listed: false }) },
@@ -233,7 +233,7 @@
   const name = `${index} revokes the former primary`;
   const { change } = state;
   const host = hostAt(state, index);
-  const { record } = take(host, CLAIM);
+  const { record } = adoptRecord(host, CLAIM);
   if (change === undefined || !acknowledgesClaim(record, CLAIM)) return { name, next: state };
   const acknowledged = [...change.acknowledged, index].sort();
   const majority = isMajority(acknowledged.length, state.hosts.length);
@@ -246,10 +246,12 @@
 function mayCall(state: AuthorityState, variant: Variant): boolean {
   const { change, now } = state;
   if (change === undefined) return false;
-  const silent = [...state.hosts.keys()].filter((index) => !change.acknowledged.includes(index));
-  const counted = silent.filter((index) => hostAt(state, index).listed);
-  if (silent.length === 0) return true;
-  if (variant === Variant.AbsenceIsProof && counted.length === 0) return true;
+  const unacknowledged = [...state.hosts.keys()].filter(
+    (index) => !change.acknowledged.includes(index),
+  );
+  const listed = unacknowledged.filter((index) => hostAt(state, index).listed);
+  if (unacknowledged.length === 0) return true;
+  if (variant === Variant.AbsenceIsProof && listed.length === 0) return true;
   if (variant === Variant.WaitFromClaim)
     return now >= proofsExpiredAt(change.claimedAt, MODEL_RULES);
   if (change.majorityAt === undefined) return false;
@@ -257,7 +259,7 @@
   return now >= proofsExpiredAt(change.majorityAt, MODEL_RULES);
 }
 
-function take(host: ModelHost, record: PrimaryRecord): ModelHost {
+function adoptRecord(host: ModelHost, record: PrimaryRecord): ModelHost {
   return isNewerRecord(host.record, record) ? { ...host, record } : host;
 }
 
--- a/packages/measure/src/authority-model/authority-state.ts
+++ b/packages/measure/src/authority-model/authority-state.ts
@@ -7,7 +7,7 @@
 import { groupId, hostId, RecordPhase, upstreamId } from '@gladespool/coordination';
 
 /** A reply in flight, with the record that the other host had when it sent the reply. */
-export interface LateAnswer {
+export interface PendingReply {
   readonly from: number;
   readonly record: PrimaryRecord;
 }
@@ -24,7 +24,7 @@
   readonly sentAt: number;
   /** Hosts whose replies have arrived, this one included. */
   readonly answered: readonly number[];
-  readonly underWay: readonly LateAnswer[];
+  readonly inFlight: readonly PendingReply[];
 }
 
 /** A write in flight, with the record and the furthest known position of the host when it was sent. */
@@ -84,7 +84,7 @@
 export const MODEL_RULES: AuthorityRules = { proofTtlMs: 2, marginMs: 0, hostListTtlMs: 100 };
 
 /** Start time of the primary that the first record names. */
-const FIRST_BIRTH = 1;
+const FIRST_START_TIME = 1;
 
 /** The record before the replacement. */
 export const FORMER: PrimaryRecord = {
@@ -92,7 +92,7 @@
   epoch: 1,
   phase: RecordPhase.Serving,
   primary: upstreamId('u0'),
-  born: FIRST_BIRTH,
+  born: FIRST_START_TIME,
   holder: hostId('0'),
 };
 
@@ -110,7 +110,7 @@
     read: undefined,
     round: undefined,
     writing: undefined,
-    primaryStartTime: FIRST_BIRTH,
+    primaryStartTime: FIRST_START_TIME,
     floor: knowsPosition ? { term: FORMER.epoch, offset: FIRST_OFFSET } : undefined,
     listed: true,
   };
@@ -118,7 +118,7 @@
     now: 0,
     store: FORMER,
     hosts: Array.from({ length: count }, () => host),
-    primary: { born: FIRST_BIRTH, told: FIRST_BIRTH, offset: FIRST_OFFSET },
+    primary: { born: FIRST_START_TIME, told: FIRST_START_TIME, offset: FIRST_OFFSET },
     change: undefined,
     lostConfirmation: false,
     lateConfirmation: false,
--- a/packages/measure/src/chaos/fault-schedule.ts
+++ b/packages/measure/src/chaos/fault-schedule.ts
@@ -26,8 +26,8 @@
   readonly undo: () => Promise<void>;
 }
 
-const KINDS: readonly FaultKind[] = Object.values(FaultKind);
-const MOST_AT_ONCE = 2;
+const ALL_KINDS: readonly FaultKind[] = Object.values(FaultKind);
+const MAX_ACTIVE = 2;
 const SLOW_MS = 300;
 const LAG_MS = 2000;
 
@@ -42,7 +42,7 @@
   constructor(
     private readonly deployment: Deployment,
     private readonly random: RandomSource,
-    private readonly kinds: readonly FaultKind[] = KINDS,
+    private readonly kinds: readonly FaultKind[] = ALL_KINDS,
   ) {}
 
   /**
@@ -50,7 +50,7 @@
    * is. Returns the kind of the injected fault, if any.
    */
   async step(): Promise<FaultKind | undefined> {
-    const enough = this.active.length >= MOST_AT_ONCE;
+    const enough = this.active.length >= MAX_ACTIVE;
     if (enough || (this.active.length > 0 && this.random.unit() < 0.5)) {
       const fault = this.active.shift();
       this.log.info('fault-ends', { kind: fault?.kind });
--- a/packages/measure/src/era-model/era-model.ts
+++ b/packages/measure/src/era-model/era-model.ts
@@ -28,7 +28,7 @@
   /** The era is opened without writing the newest known records back to the store. */
   NothingWrittenBack = 'opened with the records of the copy',
   /** The era is opened by any host that sees it, without the replies of a majority. */
-  OpenedAlone = 'opened without a majority',
+  OpenedWithoutMajority = 'opened without a majority',
   /** The fence continues from the one in the copy, whichever hosts have replied. */
   FenceNotRaised = 'fence not raised',
   /** A host proceeds with a claim that the store has lost meanwhile. */
@@ -44,7 +44,7 @@
 /** Hosts that read the store; the changer learns its content from its own changes. */
 const READERS: readonly number[] = [OPENER, 2];
 /** Age beyond which no decision depends on the exact age, in ticks. */
-const OLD = ERA_RULES.proofTtlMs + 1;
+const AGE_LIMIT = ERA_RULES.proofTtlMs + 1;
 /** Maximum number of changes that the store loses at once. */
 const MAX_LOST = 3;
 const SUCCESSOR = {
@@ -64,13 +64,13 @@
   };
 }
 
-/** Caps ages at `OLD`, so that states that differ only in larger ages count as equal. */
+/** Caps ages at `AGE_LIMIT`, so that states that differ only in larger ages count as equal. */
 function keyOf({ now, hosts, change, history, ...rest }: EraState): string {
-  const ageOf = (at: number | undefined): number | undefined => at && Math.min(OLD, now - at);
+  const ageOf = (at: number | undefined): number | undefined => at && Math.min(AGE_LIMIT, now - at);
   const aged = hosts.map((host) => ({
     ...host,
-    provedAt: Math.min(OLD, now - host.provedAt),
-    eraSince: Math.min(OLD, now - host.eraSince),
+    provedAt: Math.min(AGE_LIMIT, now - host.provedAt),
+    eraSince: Math.min(AGE_LIMIT, now - host.eraSince),
   }));
   const kept = change && { ...change, majorityAt: ageOf(change.majorityAt) };
   return JSON.stringify([aged, kept, history.slice(-MAX_LOST), rest]);
@@ -88,7 +88,7 @@
 
 function stepsOf(state: EraState, variant: EraVariant, returns: number): readonly Step[] {
   const steps: Step[] = [{ name: 'tick', next: { ...state, now: state.now + 1 } }];
-  if (state.store.era < returns) steps.push(...returnSteps(state));
+  if (state.store.era < returns) steps.push(...restoreSteps(state));
   for (const index of READERS) steps.push(readStep(state, index, variant));
   steps.push(...renewalSteps(state));
   steps.push(...changeSteps(state, variant));
@@ -98,7 +98,7 @@
 }
 
 /** The store is restored from a copy without its last changes, which begins a new era. */
-function returnSteps(state: EraState): readonly Step[] {
+function restoreSteps(state: EraState): readonly Step[] {
   const { store, history } = state;
   const copies = [...history, store].slice(-1 - MAX_LOST);
   return copies.map((copy, index) => {
@@ -114,7 +114,7 @@
   const host = hostAt(state, index);
   const isSettled = store.isOpened && recordRank(store.record) >= recordRank(host.record);
   const proves = isSettled || variant === EraVariant.ProofBeforeOpening;
-  const taken = take(host, store.record, store.fence);
+  const taken = adoptRecord(host, store.record, store.fence);
   const read = {
     ...taken,
     era: store.era,
@@ -127,8 +127,8 @@
 /** Another host renews the proof of host 2: two of three hosts are a majority. */
 function renewalSteps(state: EraState): readonly Step[] {
   return [CHANGER, OPENER].map((other) => {
-    const told = hostAt(state, other);
-    const renewed = take(hostAt(state, 2), told.record, told.fence);
+    const source = hostAt(state, other);
+    const renewed = adoptRecord(hostAt(state, 2), source.record, source.fence);
     const next = withHost(state, 2, { ...renewed, provedAt: state.now });
     return { name: `${other} renews the proof of 2`, next };
   });
@@ -144,7 +144,7 @@
   const steps = [...state.hosts.keys()]
     .filter((index) => !change.acknowledged.includes(index))
     .map((index) => revoke(state, index));
-  if (!isFree(state)) return steps;
+  if (!isRevoked(state)) return steps;
   if (!change.isNamed && isPresent) steps.push(nameStep(state, variant));
   if (change.isNamed) {
     steps.push({ name: 'call', next: { ...state, change: { ...change, isCalled: true } } });
@@ -179,7 +179,7 @@
   if (store.era !== 0)
     return { name: 'claim is made late', next: { ...changed, change: undefined } };
   const claimed = { ...changed, change: { ...change, era: store.era } };
-  const host = take(hostAt(state, CHANGER), claim, FIRST_FENCE);
+  const host = adoptRecord(hostAt(state, CHANGER), claim, FIRST_FENCE);
   return { name: 'claim is made', next: withHost(claimed, CHANGER, host) };
 }
 
@@ -191,7 +191,7 @@
   const name = `${index} revokes the former primary`;
   const { change } = state;
   const claim = claimedRecord(FORMER, hostId('0'), undefined);
-  const host = take(hostAt(state, index), claim, 0);
+  const host = adoptRecord(hostAt(state, index), claim, 0);
   if (change === undefined || !acknowledgesClaim(host.record, claim)) return { name, next: state };
   const acknowledged = [...change.acknowledged, index].sort();
   const majorityAt =
@@ -201,7 +201,7 @@
 }
 
 /** Whether the changer knows that no host uses the former primary: all have revoked it, or all proofs have expired. */
-function isFree({ change, now }: EraState): boolean {
+function isRevoked({ change, now }: EraState): boolean {
   if (change?.majorityAt === undefined) return false;
   if (change.acknowledged.length === HOSTS) return true;
   return now >= proofsExpiredAt(change.majorityAt, ERA_RULES);
@@ -227,17 +227,18 @@
   const { store, now } = state;
   const opener = hostAt(state, OPENER);
   if (store.isOpened || opener.era !== store.era) return [];
-  const heard = [[], [CHANGER], [2], [CHANGER, 2]];
-  return heard
-    .map((others) => ({ others, former: formerOf(others.length) }))
+  const subsets = [[], [CHANGER], [2], [CHANGER, 2]];
+  return subsets
+    .map((others) => ({ others, former: previousHosts(others.length) }))
     .filter(
       ({ former }) =>
-        variant === EraVariant.OpenedAlone || mayOpenEra(former, now - opener.eraSince, ERA_RULES),
+        variant === EraVariant.OpenedWithoutMajority ||
+        mayOpenEra(former, now - opener.eraSince, ERA_RULES),
     )
     .map(({ others, former }) => openStep(state, others, former, variant));
 }
 
-function formerOf(others: number): PreviousEraHosts {
+function previousHosts(others: number): PreviousEraHosts {
   return { listed: HOSTS, answered: 1 + others, replaced: 0 };
 }
 
@@ -247,20 +248,20 @@
   former: PreviousEraHosts,
   variant: EraVariant,
 ): Step {
-  const told = others.map((index) => hostAt(state, index));
-  const knows = told.reduce(
-    (host, { record, fence }) => take(host, record, fence),
-    take(hostAt(state, OPENER), state.store.record, state.store.fence),
+  const replied = others.map((index) => hostAt(state, index));
+  const merged = replied.reduce(
+    (host, { record, fence }) => adoptRecord(host, record, fence),
+    adoptRecord(hostAt(state, OPENER), state.store.record, state.store.fence),
   );
-  const raised = initialFence(knows.fence, former);
+  const raised = initialFence(merged.fence, former);
   const isKept = variant === EraVariant.NothingWrittenBack;
   const opened = {
-    record: isKept ? state.store.record : knows.record,
+    record: isKept ? state.store.record : merged.record,
     fence: variant === EraVariant.FenceNotRaised ? state.store.fence : raised,
     isOpened: true,
   };
   const name = `opened with ${others.join(' and ') || 'nobody'}`;
-  return { name, next: withHost(changeStore(state, opened), OPENER, knows) };
+  return { name, next: withHost(changeStore(state, opened), OPENER, merged) };
 }
 
 /** The opener takes over the promotion lease once any previous one has expired, and calls for a promotion. */
@@ -277,7 +278,7 @@
   return { ...state, store: { ...store, ...change }, history: [...history, store] };
 }
 
-function take(host: EraHost, record: PrimaryRecord, fence: number): EraHost {
+function adoptRecord(host: EraHost, record: PrimaryRecord, fence: number): EraHost {
   const newest = isNewerRecord(host.record, record) ? record : host.record;
   return { ...host, record: newest, fence: Math.max(host.fence, fence) };
 }
--- a/packages/measure/src/history/check-history.ts
+++ b/packages/measure/src/history/check-history.ts
@@ -45,24 +45,24 @@
 
 /** A retried request is lost only if the log holds the row of none of its attempts. */
 function lostWrites(writes: readonly WriteEvent[], rows: FinalRows): readonly WriteEvent[] {
-  const standing = new Set<string>();
+  const retained = new Set<string>();
   for (const write of writes) {
-    if (write.request !== undefined && rows.has(write.row)) standing.add(write.request);
+    if (write.request !== undefined && rows.has(write.row)) retained.add(write.request);
   }
   return writes.filter((write) => {
     if (write.told !== Told.Confirmed || rows.has(write.row)) return false;
-    return write.request === undefined || !standing.has(write.request);
+    return write.request === undefined || !retained.has(write.request);
   });
 }
 
 function doubledRequests(writes: readonly WriteEvent[], rows: FinalRows): readonly string[] {
-  const sendings = new Map<string, Set<string>>();
+  const rowsByRequest = new Map<string, Set<string>>();
   for (const write of writes) {
     if (write.request === undefined || !rows.has(write.row)) continue;
-    const held = sendings.get(write.request) ?? new Set<string>();
-    sendings.set(write.request, held.add(write.row));
+    const held = rowsByRequest.get(write.request) ?? new Set<string>();
+    rowsByRequest.set(write.request, held.add(write.row));
   }
-  return [...sendings].filter(([, held]) => held.size > 1).map(([request]) => request);
+  return [...rowsByRequest].filter(([, held]) => held.size > 1).map(([request]) => request);
 }
 
 /** Counts the events and violations of a history. */
--- a/packages/measure/src/model/model-steps.ts
+++ b/packages/measure/src/model/model-steps.ts
@@ -61,7 +61,7 @@
   return [
     ...commits(state, rules),
     ...state.upstreams.flatMap((upstream) => upstreamSteps(state, upstream, rules)),
-    ...learns(state, rules),
+    ...readsRecord(state, rules),
     ...state.promoters.flatMap((promoter, index) => promoterSteps(state, promoter, index, rules)),
   ];
 }
@@ -71,7 +71,7 @@
   return { ...state, upstreams };
 }
 
-function find(state: ModelState, id: UpstreamId): ModelUpstream {
+function upstreamOf(state: ModelState, id: UpstreamId): ModelUpstream {
   const found = state.upstreams.find((upstream) => upstream.id === id);
   if (found === undefined) throw new Error(`unknown upstream ${id}`);
   return found;
@@ -84,7 +84,7 @@
 /** The home host commits the next write on the primary that it knows. */
 function commits(state: ModelState, rules: ModelRules): readonly NamedStep[] {
   const index = state.writes.findIndex((write) => write.position === undefined);
-  const primary = find(state, state.known.primary);
+  const primary = upstreamOf(state, state.known.primary);
   const serving = state.known.phase === GroupPhase.Serving;
   if (index < 0 || !serving || !canWrite(primary)) return [];
   const changed = { ...primary, log: [...primary.log, index] };
@@ -93,11 +93,11 @@
     at === index ? { ...write, position: received } : write,
   );
   const next = withUpstream({ ...state, writes }, changed);
-  return [{ name: `commit ${index} on ${primary.id}`, next: judged(next, rules) }];
+  return [{ name: `commit ${index} on ${primary.id}`, next: withDecisions(next, rules) }];
 }
 
 /** Reports the decision on every commit for which the acknowledgement rule now has one. */
-function judged(state: ModelState, rules: ModelRules): ModelState {
+function withDecisions(state: ModelState, rules: ModelRules): ModelState {
   const writes = state.writes.map((write) => {
     if (write.position === undefined || write.told !== undefined) return write;
     const { known: record, reports } = state;
@@ -123,7 +123,7 @@
 
 function replicates(state: ModelState, replica: ModelUpstream): readonly NamedStep[] {
   if (!replica.up || replica.following === undefined) return [];
-  const primary = find(state, replica.following);
+  const primary = upstreamOf(state, replica.following);
   const agrees = primary.up && primary.role === UpstreamRole.Primary;
   const accepts = agrees && primary.term === replica.term && replica.fenced <= primary.term;
   const entry = primary.log[replica.log.length];
@@ -142,7 +142,7 @@
   const held = state.reports.find((candidate) => candidate.upstream === upstream.id);
   if (JSON.stringify(held) === JSON.stringify(report)) return [];
   const others = state.reports.filter((candidate) => candidate.upstream !== upstream.id);
-  const next = judged({ ...state, reports: [...others, report] }, rules);
+  const next = withDecisions({ ...state, reports: [...others, report] }, rules);
   return [{ name: `observe ${upstream.id}`, next }];
 }
 
@@ -183,10 +183,10 @@
   return [{ name: `${upstream.id} follows`, next: withUpstream(state, changed) }];
 }
 
-function learns(state: ModelState, rules: ModelRules): readonly NamedStep[] {
+function readsRecord(state: ModelState, rules: ModelRules): readonly NamedStep[] {
   if (state.known === state.record) return [];
   if (JSON.stringify(state.known) === JSON.stringify(state.record)) return [];
-  const next = judged({ ...state, known: state.record }, rules);
+  const next = withDecisions({ ...state, known: state.record }, rules);
   return [{ name: 'home reads record', next }];
 }
 
@@ -214,39 +214,39 @@
       attempt,
     });
     const begun = { ...promoter, attempts: promoter.attempts + 1 };
-    return [...late, { name: `p${index} starts`, next: moved(state, index, begun, started) }];
+    return [...late, { name: `p${index} starts`, next: withStep(state, index, begun, started) }];
   }
-  const steps = [...late, ...graceOver(state, promoter, index)];
+  const steps = [...late, ...endsGracePeriod(state, promoter, index)];
   if (stage === PromotionStage.Done || state.budget.losses === 0) return steps;
-  return [...steps, ...gaveUp(state, promoter, index)];
+  return [...steps, ...expires(state, promoter, index)];
 }
 
 /** Ends the wait for candidates that need not be avoided, if that changes the stage of the promotion. */
-function graceOver(
+function endsGracePeriod(
   state: ModelState,
   promoter: ModelPromoter,
   index: number,
 ): readonly NamedStep[] {
   const attempt = promoter.state?.record.attempt ?? '';
-  const next = fed(state, promoter, index, attempt, { kind: 'grace-over' });
+  const next = withOutcome(state, promoter, index, attempt, { kind: 'grace-over' });
   const moves = next.promoters[index]?.state?.stage !== promoter.state?.stage;
   return moves ? [{ name: `p${index} ends its grace period`, next }] : [];
 }
 
 /** The promoter crashes, or its attempt times out. */
-function gaveUp(state: ModelState, promoter: ModelPromoter, index: number): readonly NamedStep[] {
-  const lost = loseOne(state);
+function expires(state: ModelState, promoter: ModelPromoter, index: number): readonly NamedStep[] {
+  const lost = spendLoss(state);
   const attempt = promoter.state?.record.attempt ?? '';
-  const next = fed(lost, promoter, index, attempt, { kind: 'expired' });
+  const next = withOutcome(lost, promoter, index, attempt, { kind: 'expired' });
   return [{ name: `p${index} gives up`, next }];
 }
 
-function loseOne(state: ModelState): ModelState {
+function spendLoss(state: ModelState): ModelState {
   return { ...state, budget: { ...state.budget, losses: state.budget.losses - 1 } };
 }
 
 /** Passes an outcome to the attempt that requested the action; it is dropped if that attempt has ended meanwhile. */
-function fed(
+function withOutcome(
   state: ModelState,
   promoter: ModelPromoter,
   index: number,
@@ -257,10 +257,10 @@
     const promoters = state.promoters.map((entry, at) => (at === index ? promoter : entry));
     return { ...state, promoters };
   }
-  return moved(state, index, promoter, advancePromotion(promoter.state, event));
+  return withStep(state, index, promoter, advancePromotion(promoter.state, event));
 }
 
-function moved(
+function withStep(
   state: ModelState,
   index: number,
   promoter: ModelPromoter,
@@ -292,17 +292,17 @@
   switch (action.kind) {
     case 'swap': {
       const swapped = action.expected === state.revision;
-      const after = swapped ? storing(state, action.record) : state;
+      const after = swapped ? withRecord(state, action.record) : state;
       const kind = swapped ? 'swapped' : 'conflict';
-      const answered = { name, next: fed(after, rest, index, attempt, { kind }) };
+      const answered = { name, next: withOutcome(after, rest, index, attempt, { kind }) };
       if (state.budget.losses === 0) return [answered];
-      const lost = fed(loseOne(after), rest, index, attempt, { kind: 'swap-unknown' });
+      const lost = withOutcome(spendLoss(after), rest, index, attempt, { kind: 'swap-unknown' });
       return [answered, { name: `${name}, reply lost`, next: lost }];
     }
     case 'read-record': {
       const { record, revision } = state;
       const read = { kind: 'record-read', record, revision } as const;
-      return [{ name, next: fed(state, rest, index, attempt, read) }];
+      return [{ name, next: withOutcome(state, rest, index, attempt, read) }];
     }
     case 'fence':
       return action.upstreams.flatMap((id) => fence(state, promoter, index, at, id, rules));
@@ -311,7 +311,7 @@
   }
 }
 
-function storing(state: ModelState, record: GroupRecord): ModelState {
+function withRecord(state: ModelState, record: GroupRecord): ModelState {
   return { ...state, record, revision: state.revision + 1 };
 }
 
@@ -323,7 +323,7 @@
   id: UpstreamId,
   rules: ModelRules,
 ): readonly NamedStep[] {
-  const upstream = find(state, id);
+  const upstream = upstreamOf(state, id);
   const pending = promoter.actions[at];
   if (!upstream.up || pending?.action.kind !== 'fence') return [];
   const { attempt, action } = pending;
@@ -336,7 +336,7 @@
   const after = withUpstream(state, rules.fences ? fenced : upstream);
   const report = reportOf(fenced, rules.reportsFollowedTerm);
   const name = `p${index} fences ${id}`;
-  return [{ name, next: fed(after, kept, index, attempt, { kind: 'fenced', report }) }];
+  return [{ name, next: withOutcome(after, kept, index, attempt, { kind: 'fenced', report }) }];
 }
 
 interface PendingPromote {
@@ -352,11 +352,11 @@
   rules: ModelRules,
 ): readonly NamedStep[] {
   const { attempt, action } = pending;
-  const upstream = find(state, action.upstream);
+  const upstream = upstreamOf(state, action.upstream);
   const name = `p${index} promotes ${action.upstream}`;
   const failed = {
     name: `${name}, failed`,
-    next: fed(state, rest, index, attempt, { kind: 'promote-failed' }),
+    next: withOutcome(state, rest, index, attempt, { kind: 'promote-failed' }),
   };
   if (!upstream.up || upstream.fenced > action.term) return [failed];
   const { term, lineage } = action;
@@ -370,8 +370,11 @@
   };
   const after = withUpstream(state, changed);
   const report = reportOf(changed, rules.reportsFollowedTerm);
-  const done = { name, next: fed(after, rest, index, attempt, { kind: 'promoted', report }) };
+  const done = {
+    name,
+    next: withOutcome(after, rest, index, attempt, { kind: 'promoted', report }),
+  };
   if (state.budget.losses === 0) return [done];
-  const lost = fed(loseOne(after), rest, index, attempt, { kind: 'promote-failed' });
+  const lost = withOutcome(spendLoss(after), rest, index, attempt, { kind: 'promote-failed' });
   return [done, { name: `${name}, reply lost`, next: lost }];
 }
--- a/packages/measure/src/successor-model/successor-model.ts
+++ b/packages/measure/src/successor-model/successor-model.ts
@@ -20,9 +20,9 @@
 export enum SuccessorVariant {
   Designed = 'designed',
   /** Each attempt chooses a successor independently of the one that the previous attempt called for. */
-  ChoosesAnew = 'each attempt chooses anew',
+  IndependentChoices = 'each attempt chooses anew',
   /** The promotion of the successor is called for before the record names it. */
-  CallsFirst = 'called before it is named',
+  CalledBeforeNamed = 'called before it is named',
 }
 
 /** One state of the model. */
@@ -58,7 +58,7 @@
 export function successorModel(variant: SuccessorVariant): Model<SuccessorState> {
   return {
     initial: { record: LOST, chosen: undefined, called: false, pending: [], leader: undefined },
-    stepsFrom: (state) => [...attemptSteps(state, variant), ...effects(state)],
+    stepsFrom: (state) => [...attemptSteps(state, variant), ...callEffects(state)],
     faultOf,
     keyOf: (state) => JSON.stringify(state),
   };
@@ -80,7 +80,7 @@
     const named = namedRecord(record, reportOf(chosen));
     steps.push({ name: `names ${chosen}`, next: { ...state, record: named } });
   }
-  const mayCall = isNamed || variant === SuccessorVariant.CallsFirst;
+  const mayCall = isNamed || variant === SuccessorVariant.CalledBeforeNamed;
   if (mayCall && state.pending.length < MAX_PENDING) {
     const pending = [...state.pending, chosen].sort();
     steps.push({ name: `calls for ${chosen}`, next: { ...state, pending, called: true } });
@@ -98,7 +98,7 @@
   const { record } = state;
   const isOver = record.phase === RecordPhase.Serving && record.epoch > LOST.epoch;
   if (isOver || record.epoch >= LAST_EPOCH) return [];
-  const isFree = variant === SuccessorVariant.ChoosesAnew;
+  const isFree = variant === SuccessorVariant.IndependentChoices;
   const kept = isFree ? undefined : retainedSuccessor(record, REACHED);
   const claim = claimedRecord(record, HOLDER, kept);
   const choices = kept === undefined ? REPLICAS : [kept.id];
@@ -109,7 +109,7 @@
 }
 
 /** One of the pending calls takes effect. */
-function effects(state: SuccessorState): readonly Step[] {
+function callEffects(state: SuccessorState): readonly Step[] {
   return [...new Set(state.pending)].map((leader) => {
     const at = state.pending.indexOf(leader);
     const pending = state.pending.filter((_, index) => index !== at);
--- a/packages/measure/tests/authority-model.feature
+++ b/packages/measure/tests/authority-model.feature
@@ -1,4 +1,4 @@
-Feature: The model of authority while a primary is changed, driven by the library's own decisions
+Feature: Model check of the authority to use a primary while it is replaced, with the library's own decision functions
 
   Scenario Outline: No host confirms under the former primary after the call for another one
     When every state of <hosts> hosts over <ticks> ticks is visited <store>
@@ -11,7 +11,7 @@
       | 3     | 5     | with a store that is away                      |
       | 2     | 6     | with a primary born anew                       |
 
-  Scenario Outline: A broken variant is caught
+  Scenario Outline: A broken variant of the authority rules is detected
     When the variant "<variant>" is visited <store>
     Then a confirmation under the former primary after the call is found
 
@@ -23,7 +23,7 @@
       | a key's absence taken as proof         | with a store that answers, late or not at all  |
       | acknowledged without being taken over  | with a store that answers, late or not at all  |
 
-  Scenario Outline: A variant that trusts a primary which has started anew is caught
+  Scenario Outline: A variant that trusts a restarted primary is detected
     When the variant "<variant>" is visited with a primary born anew
     Then a confirmation by a primary that had lost its log is found
 
--- a/packages/measure/tests/authority-model.steps.ts
+++ b/packages/measure/tests/authority-model.steps.ts
@@ -9,39 +9,39 @@
   visit: Visit<AuthorityState>;
 }
 
-const LIMIT = 400_000;
+const MAX_STATES = 400_000;
 const TIMEOUT = { timeout: 60_000 };
-const STORE =
+const CONDITION =
   /(with a store that answers, late or not at all|with a store that is away|with a primary born anew)/;
-const BORN_ANEW = 'with a primary born anew';
-const AWAY = 'with a store that is away';
+const PRIMARY_RESTARTS = 'with a primary born anew';
+const STORE_UNAVAILABLE = 'with a store that is away';
 
 const VARIANTS = new Map<string, Variant>(Object.values(Variant).map((value) => [value, value]));
 
 When(
-  new RegExp(`^every state of (\\d+) hosts over (\\d+) ticks is visited ${STORE.source}$`),
+  new RegExp(`^every state of (\\d+) hosts over (\\d+) ticks is visited ${CONDITION.source}$`),
   TIMEOUT,
-  function (this: AuthorityModelWorld, hosts: string, ticks: string, store: string) {
+  function (this: AuthorityModelWorld, hosts: string, ticks: string, condition: string) {
     const bounds = {
       hosts: Number(hosts),
       ticks: Number(ticks),
-      storeAway: store === AWAY,
-      bornAnew: store === BORN_ANEW,
+      storeUnavailable: condition === STORE_UNAVAILABLE,
+      primaryRestarts: condition === PRIMARY_RESTARTS,
     };
-    this.visit = visitAll(authorityModel(Variant.Designed, bounds), LIMIT);
+    this.visit = visitAll(authorityModel(Variant.Designed, bounds), MAX_STATES);
   },
 );
 
 When(
-  new RegExp(`^the variant "([^"]+)" is visited ${STORE.source}$`),
+  new RegExp(`^the variant "([^"]+)" is visited ${CONDITION.source}$`),
   TIMEOUT,
-  function (this: AuthorityModelWorld, variant: string, store: string) {
+  function (this: AuthorityModelWorld, variant: string, condition: string) {
     const known = VARIANTS.get(variant);
     assert.ok(known, variant);
-    const storeAway = store === AWAY;
-    const bornAnew = store === BORN_ANEW;
-    const bounds = { hosts: storeAway ? 3 : 2, ticks: 6, storeAway, bornAnew };
-    this.visit = visitAll(authorityModel(known, bounds), LIMIT);
+    const storeUnavailable = condition === STORE_UNAVAILABLE;
+    const primaryRestarts = condition === PRIMARY_RESTARTS;
+    const bounds = { hosts: storeUnavailable ? 3 : 2, ticks: 6, storeUnavailable, primaryRestarts };
+    this.visit = visitAll(authorityModel(known, bounds), MAX_STATES);
   },
 );
 
--- a/packages/measure/tests/era-model.feature
+++ b/packages/measure/tests/era-model.feature
@@ -1,4 +1,4 @@
-Feature: The model of a store that loses its last changes, driven by the library's own decisions
+Feature: Model check of a store that loses its last changes, with the library's own decision functions
 
   Scenario Outline: No host uses the former primary after the call for another one, and no fence is used twice
     When every state with <returns> returns of the store from a copy is visited
@@ -8,7 +8,7 @@
       | returns |
       | 1       |
 
-  Scenario Outline: A broken variant of the opening is caught
+  Scenario Outline: A broken variant of opening an era is detected
     When the variant "<variant>" of the opening is visited
     Then the fault "<fault>" is found
 
--- a/packages/measure/tests/era-model.steps.ts
+++ b/packages/measure/tests/era-model.steps.ts
@@ -6,10 +6,10 @@
 import { visitAll } from '../src/model/breadth-first.js';
 
 interface EraModelWorld {
-  visited: Visit<EraState>;
+  visit: Visit<EraState>;
 }
 
-const LIMIT = 400_000;
+const MAX_STATES = 400_000;
 const VARIANTS = new Map<string, EraVariant>(
   Object.values(EraVariant).map((value) => [value, value]),
 );
@@ -19,7 +19,7 @@
   'every state with {int} returns of the store from a copy is visited',
   TIMEOUT,
   function (this: EraModelWorld, returns: number) {
-    this.visited = visitAll(eraModel(EraVariant.Designed, returns), LIMIT);
+    this.visit = visitAll(eraModel(EraVariant.Designed, returns), MAX_STATES);
   },
 );
 
@@ -29,16 +29,16 @@
   function (this: EraModelWorld, name: string) {
     const variant = VARIANTS.get(name);
     assert.ok(variant, name);
-    this.visited = visitAll(eraModel(variant, 1), LIMIT);
+    this.visit = visitAll(eraModel(variant, 1), MAX_STATES);
   },
 );
 
 Then('all of them are without a fault', function (this: EraModelWorld) {
-  const { fault, complete, states } = this.visited;
+  const { fault, complete, states } = this.visit;
   assert.equal(fault, undefined, `${fault?.what}: ${fault?.trace.join(', ')}`);
   assert.ok(complete, `${states} states`);
 });
 
 Then('the fault {string} is found', function (this: EraModelWorld, what: string) {
-  assert.equal(this.visited.fault?.what, what, `${this.visited.states} states`);
+  assert.equal(this.visit.fault?.what, what, `${this.visit.states} states`);
 });
--- a/packages/measure/tests/history.feature
+++ b/packages/measure/tests/history.feature
@@ -4,7 +4,7 @@
     Given the history "<events>" and the rows "<rows>"
     Then the checker finds "<found>"
 
-    # w:row:told[:request] a write, r:row:owner a read, all by session s
+    # Events of session s: w:row:outcome[:request] is a write, r:row:owner is a read that found a row of that owner.
     Examples:
       | events                                    | rows   | found        |
       | w:a:confirmed, r:a:s                      | a      |              |
--- a/packages/measure/tests/history.steps.ts
+++ b/packages/measure/tests/history.steps.ts
@@ -17,10 +17,10 @@
 );
 
 Then('the checker finds {string}', function (this: HistoryWorld, found: string) {
-  const named = Object.entries(this.violations)
+  const violated = Object.entries(this.violations)
     .filter(([, list]) => (list as readonly unknown[]).length > 0)
-    .map(([promise]) => promise);
-  assert.equal(named.join(', '), found);
+    .map(([guarantee]) => guarantee);
+  assert.equal(violated.join(', '), found);
 });
 
 function eventOf(text: string): HistoryEvent {
@@ -31,6 +31,6 @@
 
 function toldOf(text: string): Told {
   const told = Object.values(Told).find((candidate) => text === candidate.valueOf());
-  if (told === undefined) throw new Error(`nobody is told ${text}`);
+  if (told === undefined) throw new Error(`unknown write outcome ${text}`);
   return told;
 }
--- a/packages/measure/tests/model.steps.ts
+++ b/packages/measure/tests/model.steps.ts
@@ -17,7 +17,7 @@
   eagerReads: true,
   attempts: 1,
 };
-const LIMIT = 150_000;
+const MAX_STATES = 150_000;
 const NO_FAULTS = { crashes: 0, losses: 0 };
 const FAULTS = { crashes: 3, losses: 3 };
 const WALK_SEED = 3;
@@ -26,7 +26,7 @@
   'every state of {int} write and {int} promoter is visited',
   function (this: ModelWorld, writes: number, promoters: number) {
     const initial = initialState({ writes, promoters, budget: NO_FAULTS });
-    this.result = exploreAll(initial, DESIGNED, LIMIT);
+    this.result = exploreAll(initial, DESIGNED, MAX_STATES);
   },
 );
 
@@ -52,9 +52,9 @@
   const large = initialState({ writes: 4, promoters: 3, budget: FAULTS });
   if (fault === 'the primary alone confirms') {
     const rules = { ...DESIGNED, acknowledgement: new PrimaryCommitRule() };
-    this.result = exploreAll(small, rules, LIMIT);
+    this.result = exploreAll(small, rules, MAX_STATES);
   } else if (fault === "fences don't hold") {
-    this.result = exploreAll(two, { ...DESIGNED, fences: false }, LIMIT);
+    this.result = exploreAll(two, { ...DESIGNED, fences: false }, MAX_STATES);
   } else {
     const rules = { ...DESIGNED, eagerReads: false, attempts: 3, reportsFollowedTerm: true };
     this.result = walkAtRandom(large, rules, 20_000, 150, new SeededRandom(WALK_SEED));
--- a/packages/measure/tests/successor-model.steps.ts
+++ b/packages/measure/tests/successor-model.steps.ts
@@ -9,21 +9,21 @@
   visit: Visit<SuccessorState>;
 }
 
-const LIMIT = 100_000;
+const MAX_STATES = 100_000;
 const VARIANTS = new Map<string, SuccessorVariant>(
   Object.values(SuccessorVariant).map((value) => [value, value]),
 );
 
 When('every state of the design is visited', function (this: SuccessorWorld) {
-  this.visit = visitAll(successorModel(SuccessorVariant.Designed), LIMIT);
+  this.visit = visitAll(successorModel(SuccessorVariant.Designed), MAX_STATES);
 });
 
 When(
   'every state of the variant {string} is visited',
-  function (this: SuccessorWorld, words: string) {
-    const variant = VARIANTS.get(words);
-    assert.ok(variant, words);
-    this.visit = visitAll(successorModel(variant), LIMIT);
+  function (this: SuccessorWorld, name: string) {
+    const variant = VARIANTS.get(name);
+    assert.ok(variant, name);
+    this.visit = visitAll(successorModel(variant), MAX_STATES);
   },
 );
 
