--- a/packages/gateway/src/control/proofs/sync-service.ts
+++ b/packages/gateway/src/control/proofs/sync-service.ts
@@ -330,7 +330,7 @@
     else this.acceptProof(proof, sentAt);
   }
 
-  /** Accepts the proof in the reply to a request that was sent at `askedAt`. */
+  /** Accepts the proof in the reply to a request that was sent at `requestedAt`. */
   private acceptProof(proof: NonNullable<SyncReply['proof']>, requestedAt: number): void {
     const { view, proofs } = this.options;
     const { ageMs, position, isFromStore } = proof;
