--- a/packages/measure/src/embedded/deployment.ts
+++ b/packages/measure/src/embedded/deployment.ts
@@ -1,6 +1,6 @@
 /**
- * A whole deployment in one process: stand-ins of store, host list and upstreams, and real hosts
- * whose connections pass through a network on which faults and latency can be put.
+ * A complete deployment in one process: stand-ins for the store, the host list and the upstreams, and
+ * real hosts whose connections pass through a simulated network that injects faults and latency.
  */
 import { randomBytes } from 'node:crypto';
 import type { ReadRouting } from '@gladespool/coordination';
@@ -23,7 +23,7 @@
 import { PortAllocator } from './port-allocator.js';
 import type { DeploymentShape } from './shape.js';
 
-/** Names of callers' user and passwords in embedded deployments. */
+/** User name with which callers log in to embedded deployments. */
 export const EMBEDDED_USER = 'app';
 /** Password of {@link EMBEDDED_USER}. */
 export const EMBEDDED_PASSWORD = 'app';
@@ -34,35 +34,35 @@
 const KEY_BYTES = 32;
 const OPERATOR = 'alice';
 
-/** Settings that experiments change, by section and key. */
+/** Host settings that an experiment overrides, by section and key. */
 export type SettingsOverride = Readonly<Record<string, Readonly<Record<string, string | number>>>>;
 
 /** Options of an embedded deployment. */
 export interface DeploymentOptions {
   readonly shape: DeploymentShape;
   readonly seed: number;
-  /** First port; 0 lets the system choose every port. */
+  /** First port; with 0 the operating system chooses every port. */
   readonly basePort: number;
-  /** Whether the shape's latencies apply. */
+  /** Whether the network adds the latencies of the shape. */
   readonly latency: boolean;
   readonly settings?: SettingsOverride;
   readonly routing?: ReadRouting;
-  /** Key and certificate towards callers; none refuses TLS. */
+  /** Key and certificate for connections of callers; without them hosts refuse TLS. */
   readonly tls?: CallerTls;
-  /** Acknowledgement rule of every group, as a bundle names it. */
+  /** Acknowledgement rule of every group, spelled as in a bundle. */
   readonly acknowledgement?: string;
-  /** Session rule of every group, as a bundle names it. */
+  /** Session consistency rule of every group, spelled as in a bundle. */
   readonly session?: string;
 }
 
-/** An upstream with its zone. */
+/** An upstream with its group and availability zone. */
 export interface PlacedUpstream {
   readonly group: string;
   readonly az: string;
   readonly server: UpstreamServer;
 }
 
-/** An embedded deployment. */
+/** An embedded deployment; also the target of its fault server. */
 export class Deployment implements FaultTargets {
   readonly network = new FaultNetwork();
   readonly store: StoreServer;
@@ -82,7 +82,7 @@
     this.store = new StoreServer(ADDRESS, this.ports.next());
   }
 
-  /** Brings everything up and waits until each host can take callers and each group has a primary. */
+  /** Starts all parts and waits until every host accepts callers and every group has a primary. */
   async start(): Promise<void> {
     const { shape, latency } = this.options;
     await this.store.listen();
@@ -97,7 +97,7 @@
     await this.settled();
   }
 
-  /** Waits until every host has the bundle and a record of each group. */
+  /** Waits until every host has the latest bundle, a record of each group and all members in its view. */
   async settled(): Promise<void> {
     const { groups } = this.options.shape;
     await until(() =>
@@ -110,7 +110,7 @@
     );
   }
 
-  /** Starts one host and puts it on the platform's list. */
+  /** Starts one host and registers it with the network; the host list changes with {@link refreshHostList}. */
   async startHost(name: string, az: string): Promise<Host> {
     const settings = this.settingsOf(name, az);
     const party: Party = { name, az };
@@ -133,7 +133,7 @@
     return host;
   }
 
-  /** Stops a host as a crash would, and forgets it. */
+  /** Stops a host without draining it, as a crash would, and removes it from {@link hosts}. */
   async killHost(host: Host): Promise<void> {
     this.hosts.splice(this.hosts.indexOf(host), 1);
     await host.stop();
@@ -146,7 +146,7 @@
     return true;
   }
 
-  /** Puts the present hosts on the platform's list. */
+  /** Replaces the platform's host list by the running hosts. */
   refreshHostList(): void {
     this.store.hosts = this.hosts.map((host) => ({
       host: host.board.host,
@@ -158,10 +158,11 @@
   }
 
   /**
-   * Signs and publishes a bundle text of the next version.
+   * Signs and publishes the text of the next bundle version.
    *
-   * @param operator - operator that the new version names
-   * @param signer - operator that signs it, by default the one in force
+   * @param operator - operator whose key the new version lists
+   * @param signer - operator that signs it, by default the operator in force
+   * @throws Error when the store refuses the bundle
    */
   async publish(
     text: string,
@@ -184,12 +185,12 @@
     this.bundleVersion = bundle.version;
   }
 
-  /** Version published last. */
+  /** Version of the bundle published last. */
   get publishedVersion(): number {
     return this.bundleVersion;
   }
 
-  /** A client of the store for tools. */
+  /** Creates a store client as an operator's tool uses it; the caller closes it. */
   storeClient(): HttpStoreClient {
     return new HttpStoreClient({
       address: ADDRESS,
@@ -199,7 +200,7 @@
     });
   }
 
-  /** Signature of an embedded operator, by default the one in force. */
+  /** Signs the manifest of a bundle with the key of an operator, by default the operator in force. */
   sign(bundle: Bundle, operator: string = this.operator): ReturnType<typeof signManifest> {
     const { manifest } = splitBundle(bundle);
     return signManifest(manifest, operator, this.keysOf(operator).privateKey);
@@ -213,7 +214,7 @@
     return created;
   }
 
-  /** Text of the next bundle; `states` sets the state of upstreams by name. */
+  /** Text of the next bundle version; `states` sets the state of upstreams by name, `active` by default. */
   bundleText(states: Readonly<Record<string, string>>): string {
     const { shape, acknowledgement, session } = this.options;
     const group = Object.fromEntries(
@@ -246,7 +247,7 @@
     });
   }
 
-  /** The upstream that a group's record names as primary. */
+  /** The upstream named as primary by the group record of the highest term that any host knows. */
   primaryOf(group: string): UpstreamServer {
     const records = this.hosts
       .map((host) => host.board.record(group as never)?.record)
@@ -262,7 +263,7 @@
     return this.upstreams.filter((placed) => placed.group === group).map((placed) => placed.server);
   }
 
-  /** Stops everything. */
+  /** Heals the network and stops hosts, upstreams and store. */
   async stop(): Promise<void> {
     this.network.heal();
     await Promise.all(this.hosts.map((host) => host.stop()));
@@ -345,7 +346,7 @@
 const UNTIL_POLL_MS = 10;
 const UNTIL_LIMIT_MS = 30_000;
 
-/** Waits until a condition holds; throws when it does not for half a minute. */
+/** Polls a condition every 10 ms until it holds; throws after `limitMs`, by default 30 s. */
 export async function until(
   condition: () => boolean | Promise<boolean>,
   limitMs: number = UNTIL_LIMIT_MS,
--- a/packages/measure/src/embedded/port-allocator.ts
+++ b/packages/measure/src/embedded/port-allocator.ts
@@ -1,12 +1,11 @@
 /**
- * Gives out consecutive ports from a base, or 0 (the system chooses) when there is none.
+ * Allocates consecutive ports from a base port, or 0 (the operating system chooses) without one.
  */
 export class PortAllocator {
   private used = 0;
 
   constructor(private readonly basePort: number) {}
 
-  /** The next port. */
   next(): number {
     if (this.basePort === 0) return 0;
     const port = this.basePort + this.used;
--- a/packages/measure/src/embedded/shape.ts
+++ b/packages/measure/src/embedded/shape.ts
@@ -1,5 +1,6 @@
 /**
- * Shapes of deployments to bring up in one process: Ramdin's and Harborline's sizes of today.
+ * Shapes of embedded deployments: zones, hosts, groups and latencies of Ramdin's and Harborline's
+ * present deployments.
  */
 
 /** Shape of an embedded deployment. */
@@ -9,11 +10,11 @@
   readonly hostsPerZone: number;
   readonly groups: readonly string[];
   readonly connectionsPerUpstream: number;
-  /** Time of a new connection to an upstream, milliseconds. */
+  /** Time to open a connection to an upstream, milliseconds. */
   readonly connectMs: number;
-  /** One way between zones, milliseconds. */
+  /** One-way latency between zones, milliseconds. */
   readonly zoneLatencyMs: number;
-  /** One way between callers and hosts, milliseconds. */
+  /** One-way latency between callers and hosts, milliseconds. */
   readonly callerLatencyMs: number;
 }
 
--- a/packages/measure/src/load/caller.ts
+++ b/packages/measure/src/load/caller.ts
@@ -1,5 +1,5 @@
 /**
- * A caller of the measuring tools and tests: the `pg` driver plus the session token.
+ * Caller used by the experiments and tests: the `pg` driver plus handling of the session token.
  */
 import type { Socket } from 'node:net';
 import { connect } from 'node:net';
@@ -8,7 +8,7 @@
 import { serialize } from 'pg-protocol';
 import { EMBEDDED_PASSWORD, EMBEDDED_USER } from '../embedded/deployment.js';
 
-/** Where and as whom a caller connects. */
+/** Address, credentials and socket of a caller's connection. */
 export interface CallerOptions {
   readonly port: number;
   readonly group: string;
@@ -17,9 +17,9 @@
   readonly password?: string;
   /** Certificate to trust; makes the connection use TLS. */
   readonly certificate?: string;
-  /** Further start-up options, as in `-c name=value`. */
+  /** Additional start-up options in the form `-c name=value`. */
   readonly options?: string;
-  /** Creates the socket; lets tests put latency and faults on it. */
+  /** Creates the socket; tests supply sockets with injected latency and faults. */
   readonly createSocket?: () => Socket;
 }
 
@@ -31,12 +31,12 @@
   readonly parameterValue: string;
 }
 
-/** Connection of the driver; left out of its type declarations. */
+/** Connection object of the driver, which its type declarations omit. */
 interface DriverConnection extends NodeJS.EventEmitter {
   readonly stream: Socket;
 }
 
-/** Identity of a connection in a cancel request; left out of the driver's type declarations. */
+/** Identifies a connection in a cancel request; the driver's type declarations omit these fields. */
 interface BackendIdentity {
   readonly processID: number;
   readonly secretKey: number;
@@ -45,7 +45,7 @@
 
 /** One connected caller. */
 export class Caller {
-  /** Latest session token that the host gave. */
+  /** Latest session token reported by the host. */
   token = '';
   /** Whether the connection has ended. */
   ended = false;
@@ -90,7 +90,7 @@
     return result.rows;
   }
 
-  /** Goes on with another session's token. */
+  /** Sets the session token to the token of another session. */
   async adoptToken(token: string): Promise<void> {
     await this.query(`SET ${TOKEN_PARAMETER} = '${token}'`);
     this.token = token;
@@ -101,12 +101,12 @@
     return 'encrypted' in this.stream;
   }
 
-  /** Sends bytes as they are. */
+  /** Writes bytes to the socket, bypassing the driver. */
   sendRaw(bytes: Buffer): void {
     this.stream.write(bytes);
   }
 
-  /** Hands received bytes to `receive` instead of the driver, from now on. */
+  /** Passes all further received bytes to `receive` instead of the driver. */
   takeOver(receive: (chunk: Buffer) => void): void {
     this.stream.removeAllListeners('data');
     this.stream.on('data', receive);
@@ -117,7 +117,7 @@
     return connection.stream;
   }
 
-  /** Asks the host to cancel the running statement, over a connection of its own. */
+  /** Sends a cancel request for the running statement over a separate connection. */
   async cancel(): Promise<void> {
     const { processID, secretKey, port } = this.client as unknown as BackendIdentity;
     const socket = connect(port, '127.0.0.1');
@@ -127,7 +127,7 @@
     });
   }
 
-  /** Ends the connection; one that has ended already is left alone. */
+  /** Ends the connection; does nothing if it has ended already. */
   async end(): Promise<void> {
     if (!this.ended) await this.client.end();
   }
--- a/packages/measure/src/load/closed-loop.ts
+++ b/packages/measure/src/load/closed-loop.ts
@@ -1,5 +1,5 @@
 /**
- * A closed loop: each caller sends its next request when it has the answer to the last.
+ * Closed-loop load: each caller sends its next request when it has the reply to the previous one.
  */
 import type { LatencySummary } from './latency-recorder.js';
 import { LatencyRecorder, round } from './latency-recorder.js';
@@ -8,21 +8,21 @@
 export interface ClosedLoopOptions {
   readonly callers: number;
   readonly durationMs: number;
-  /** Sends one request of a caller; false when it was refused. */
+  /** Sends one request of a caller; resolves to false when the request was refused. */
   readonly request: (caller: number, sequence: number) => Promise<boolean>;
 }
 
 /** Result of a loop. */
 export interface ClosedLoopResult {
   readonly latency: LatencySummary;
-  /** Requests answered a second. */
+  /** Answered requests per second. */
   readonly rate: number;
   readonly refused: number;
-  /** Processor time of this process per request, milliseconds. */
+  /** CPU time of this process per answered request, milliseconds. */
   readonly cpuMs: number;
 }
 
-/** Runs the loop. */
+/** Runs the load and summarizes latency, rate, refusals and CPU time. */
 export async function runClosedLoop(options: ClosedLoopOptions): Promise<ClosedLoopResult> {
   const recorder = new LatencyRecorder();
   const startedAt = performance.now();
--- a/packages/measure/src/load/latency-recorder.ts
+++ b/packages/measure/src/load/latency-recorder.ts
@@ -1,5 +1,5 @@
 /**
- * Latencies of one run, in microseconds inside an HDR histogram.
+ * Records the latencies of one run in an HDR histogram with microsecond resolution.
  */
 import type { Histogram } from 'hdr-histogram-js';
 import { build } from 'hdr-histogram-js';
@@ -7,7 +7,7 @@
 const MICROS_PER_MS = 1000;
 const HIGHEST_MICROS = 600_000_000;
 
-/** Percentiles in milliseconds. */
+/** Number of recorded latencies, and percentiles in milliseconds. */
 export interface LatencySummary {
   readonly count: number;
   readonly p50: number;
@@ -15,7 +15,7 @@
   readonly max: number;
 }
 
-/** Records latencies. */
+/** Records latencies from 1 µs to 10 minutes with three significant digits. */
 export class LatencyRecorder {
   private readonly histogram: Histogram = build({
     lowestDiscernibleValue: 1,
@@ -23,7 +23,7 @@
     numberOfSignificantValueDigits: 3,
   });
 
-  /** Records one latency in milliseconds. */
+  /** Records one latency in milliseconds; values out of range are clamped. */
   record(ms: number): void {
     this.histogram.recordValue(
       Math.min(HIGHEST_MICROS, Math.max(1, Math.round(ms * MICROS_PER_MS))),
--- a/packages/measure/src/load/session-workload.ts
+++ b/packages/measure/src/load/session-workload.ts
@@ -1,6 +1,6 @@
 /**
- * Callers whose requests make up a history: unique writes, some marked and sent twice, transactions,
- * and reads of the session's own confirmed rows, on hosts that change from request to request.
+ * Workload of a session, recorded as a history: unique writes, some of them with a request id and sent
+ * twice, transactions, and reads of the session's own confirmed rows, on changing hosts.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { RandomSource } from '@gladespool/coordination';
@@ -12,10 +12,10 @@
 export interface SessionOptions {
   readonly name: string;
   readonly group: string;
-  /** Ports of hosts that can be reached now. */
+  /** Ports of the hosts that are reachable at the moment. */
   readonly ports: () => readonly number[];
   readonly random: RandomSource;
-  /** Deadline marked on each request, milliseconds. */
+  /** Deadline in the SQL comment of each request, milliseconds. */
   readonly deadlineMs: number;
   readonly record: (event: HistoryEvent) => void;
 }
@@ -30,18 +30,18 @@
 const CONNECT_LIMIT_MS = 2000;
 const ANSWER_MARGIN_MS = 5000;
 
-/** One session's work. */
+/** Sends the requests of one session and records their outcomes. */
 export class SessionWorkload {
   private caller: Caller | undefined;
   private token = '';
   private readonly confirmed: string[] = [];
   private count = 0;
-  /** Requests that got no answer in time, which must not happen. */
+  /** Requests without a reply within the time limit; any such request violates the deadline guarantee. */
   unanswered = 0;
 
   constructor(private readonly options: SessionOptions) {}
 
-  /** Works until told to stop. */
+  /** Sends requests until `stopped` returns true. */
   async run(stopped: () => boolean): Promise<void> {
     while (!stopped()) {
       const caller = await this.connected();
@@ -146,7 +146,7 @@
     }
   }
 
-  /** An answer must come by the deadline; one that does not is counted. */
+  /** Rejects and counts a reply that does not arrive within the deadline plus a margin. */
   private async withinTime<Value>(answer: Promise<Value>): Promise<Value> {
     let timer: NodeJS.Timeout | undefined;
     const late = new Promise<never>((_resolve, reject) => {
@@ -186,7 +186,10 @@
   }
 }
 
-/** What an error tells about a write: the proxy's own word, else whatever a server's error means. */
+/**
+ * Outcome of a write that failed with an error: the `ran` field of the proxy's error detail if present;
+ * otherwise an error with an SQLSTATE means not run, and any other error means unknown.
+ */
 export function toldBy(error: unknown): Told {
   if (!(error instanceof Error)) return Told.Unknown;
   const { detail, code } = error as { detail?: string; code?: string };
