--- a/packages/measure/src/commands/chaos-command.ts
+++ b/packages/measure/src/commands/chaos-command.ts
@@ -1,12 +1,12 @@
 /**
- * `npm run measure -- chaos`: a checked history under mixed faults.
+ * `npm run measure -- chaos`: runs load under random faults and checks the recorded history.
  */
 import { Command, Option } from 'clipanion';
 import { runChaos } from '../chaos/chaos-run.js';
 import { HARBORLINE, RAMDIN } from '../embedded/shape.js';
 import { printFields } from './print-fields.js';
 
-/** Runs load under faults and checks the history. */
+/** Runs load under faults; exits with 1 on a violation or a request without a reply. */
 export class ChaosCommand extends Command {
   static override paths = [['chaos']];
 
--- a/packages/measure/src/commands/control-command.ts
+++ b/packages/measure/src/commands/control-command.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure -- control`: the slopes behind docs/CAPACITY.md: what control costs a host by
- * homes and by hosts of a zone, and what a bundle costs by its groups.
+ * `npm run measure -- control`: measures the slopes used in docs/CAPACITY.md: the cost of control traffic
+ * per host as homes and hosts of a zone grow, and the cost of a bundle as its groups grow.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { readBundle, splitBundle } from '@gladespool/protocol';
@@ -12,7 +12,7 @@
 import { round } from '../load/latency-recorder.js';
 import { printFields } from './print-fields.js';
 
-/** A size at which a deployment idles. */
+/** Size of a deployment that is measured without load. */
 interface IdleSize {
   readonly zones: number;
   readonly hostsPerZone: number;
@@ -25,7 +25,7 @@
 const REGIONS = 7;
 const ZONES_OF_REGION = 3;
 
-/** Measures control costs. */
+/** Measures CPU time, memory and traffic of control. */
 export class ControlCommand extends Command {
   static override paths = [['control']];
 
@@ -131,7 +131,7 @@
   readonly storeCalls: number;
 }
 
-/** A bundle text of groups spread over seven regions of three zones. */
+/** Contents of a bundle whose groups are spread over seven regions with three zones each. */
 function bundleOf(groups: number): object {
   const key = Buffer.alloc(32).toString('base64');
   const group: Record<string, object> = {};
--- a/packages/measure/src/commands/drain-command.ts
+++ b/packages/measure/src/commands/drain-command.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure -- drain`: a planned stop of a host and of an upstream under load, against a
- * kill in the same run.
+ * `npm run measure -- drain`: measures a planned stop of a host and of an upstream under load, compared
+ * with a kill in the same run.
  */
 import { Command, Option } from 'clipanion';
 import type { Host } from '@gladespool/proxy';
@@ -15,7 +15,7 @@
 const CALLERS = 18;
 const WARM_MS = 1000;
 
-/** Measures planned stops. */
+/** Measures errors and duration of planned stops and kills. */
 export class DrainCommand extends Command {
   static override paths = [['drain']];
 
@@ -79,7 +79,7 @@
   }
 }
 
-/** Callers that write and read without pause and reconnect as a driver would. */
+/** Callers that write and read continuously and reconnect like a driver. */
 class SteadyLoad {
   answered = 0;
   reconnects = 0;
--- a/packages/measure/src/commands/error-words.ts
+++ b/packages/measure/src/commands/error-words.ts
@@ -1,8 +1,8 @@
 /**
- * What an error tells a program: SQLSTATE, reason and ran.
+ * Summary of the machine-readable fields of an error: SQLSTATE, `reason` and `ran`.
  */
 
-/** Words of an error, joined by blanks; empty for an error without them. */
+/** Fields of an error, separated by spaces; empty for an error that has none of them. */
 export function wordsOf(error: unknown): string {
   const { code = '', detail = '' } = error as { code?: string; detail?: string };
   const reason = /reason=(\S+)/.exec(detail)?.[1] ?? '';
--- a/packages/measure/src/commands/failover-command.ts
+++ b/packages/measure/src/commands/failover-command.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure -- failover`: the time during which writes can't be accepted after a primary is
- * lost, for each way of losing it, against baselines in the same run.
+ * `npm run measure -- failover`: measures how long writes are unavailable after the loss of a primary,
+ * for each kind of loss, compared with baselines in the same run.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { SeededRandom } from '@gladespool/coordination';
@@ -15,7 +15,7 @@
 import { Told } from '../history/history.js';
 import { printFields } from './print-fields.js';
 
-/** Ways of losing a primary. */
+/** Kinds of loss of a primary. */
 export enum Loss {
   Stop = 'stop',
   Hang = 'hang',
@@ -23,13 +23,13 @@
   ZoneCut = 'zone-cut',
 }
 
-/** Policies compared. */
+/** Policies under comparison. */
 enum Policy {
   Default = 'default',
   Fast = 'fast',
-  /** Baseline: a fixed, long suspicion time, as with a static time-out. */
+  /** Baseline: a fixed suspicion time of 10 s, as with a static time-out. */
   Static = 'static-10s',
-  /** Baseline: confirms on the primary's commit. */
+  /** Baseline: confirms a write when the primary alone has committed it. */
   PrimaryCommit = 'primary-commit',
 }
 
@@ -54,7 +54,7 @@
   readonly endedAt: number;
 }
 
-/** Measures failover gaps. */
+/** Measures the gap in confirmed writes during a failover. */
 export class FailoverCommand extends Command {
   static override paths = [['failover']];
 
@@ -111,7 +111,7 @@
   }
 }
 
-/** Writers and losses on one deployment. */
+/** Runs writers on one deployment and injects losses of its primary. */
 class FailoverRun {
   private readonly group: string;
   private readonly log: WriteLog[] = [];
@@ -135,7 +135,11 @@
     return this.deployment.primaryOf(this.group).node.term - 1;
   }
 
-  /** Loses the primary, heals after writes go on, and gives the longest gap between confirmations. */
+  /**
+   * Injects the loss of the primary, waits for a promotion and resumed writes, and heals the fault.
+   *
+   * @returns longest gap between confirmed writes since the loss, milliseconds
+   */
   async loseOnce(kind: Loss): Promise<number> {
     await pause(this.random.integer(200, 400));
     const term = this.deployment.primaryOf(this.group).node.term;
@@ -150,7 +154,7 @@
     return gap;
   }
 
-  /** Stops the writers; gives the number of confirmed writes that don't stand. */
+  /** Stops the writers; returns the number of confirmed writes that the primary's log lacks. */
   async finish(): Promise<number> {
     this.stopped = true;
     await Promise.all(this.writers);
--- a/packages/measure/src/commands/overhead-command.ts
+++ b/packages/measure/src/commands/overhead-command.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure -- overhead`: what the proxy adds to latency, throughput and processor time,
- * direct and through it in turn in one run, and the memory of an idle caller.
+ * `npm run measure -- overhead`: measures what the proxy costs in latency, throughput and CPU time, by
+ * alternating direct and proxied load in one run, and the memory per idle caller.
  */
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
@@ -22,7 +22,7 @@
 const SETTINGS = { caller: { max_waiting: 1000, max_callers: 20_000 } };
 const BYTES_PER_KB = 1024;
 
-/** Where requests of one side go. */
+/** Connection target of one side of the comparison. */
 interface Side {
   readonly name: string;
   readonly port: number;
@@ -30,7 +30,7 @@
   readonly password: string;
 }
 
-/** Measures overhead. */
+/** Measures the overhead of the proxy compared with direct connections. */
 export class OverheadCommand extends Command {
   static override paths = [['overhead']];
 
@@ -128,7 +128,10 @@
     });
   }
 
-  /** Memory that this thread's heap and buffers grow by; the callers live in a worker thread. */
+  /**
+   * Measures the growth of this thread's heap and buffers per idle caller. The callers run in a worker
+   * thread, so that their own memory does not count.
+   */
   private async measureIdle(deployment: Deployment): Promise<void> {
     const host = deployment.hosts[0];
     if (host === undefined) return;
@@ -157,7 +160,7 @@
   return heapUsed + external;
 }
 
-/** A thread that logs in `count` callers, a few at a time, and keeps them idle. */
+/** Starts a worker thread that logs in `count` callers in batches of 50 and keeps them idle. */
 function idleWorker(port: number, count: number): Worker {
   const options = { port, group: GROUP };
   const code = `
--- a/packages/measure/src/commands/overload-command.ts
+++ b/packages/measure/src/commands/overload-command.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure -- overload`: goodput and latency at 0.5 to 10 times capacity, against an
- * unbounded queue and a fixed limit in the same run, and the recovery once load falls.
+ * `npm run measure -- overload`: measures goodput and latency at 0.5 to 10 times capacity, compared with
+ * an unbounded queue and a fixed limit in the same run, and the recovery when load drops.
  */
 import { Command, Option } from 'clipanion';
 import { Deployment } from '../embedded/deployment.js';
@@ -10,11 +10,11 @@
 import { printFields } from './print-fields.js';
 import { wordsOf } from './error-words.js';
 
-/** A policy towards too much load. */
+/** An overload policy. */
 interface OverloadPolicy {
   readonly name: string;
   readonly maxWaiting: number;
-  /** Deadline marked on requests; the baselines don't know the callers' patience. */
+  /** Deadline in the SQL comment of each request; the baselines do not know the callers' time-out. */
   readonly deadlineMs: number;
 }
 
@@ -30,7 +30,7 @@
   { name: 'fixed-limit', maxWaiting: 4, deadlineMs: 60_000 },
 ];
 
-/** Measures overload. */
+/** Measures behaviour under overload by policy. */
 export class OverloadCommand extends Command {
   static override paths = [['overload']];
 
@@ -75,7 +75,7 @@
     await deployment.stop();
   }
 
-  /** Requests a second when a few callers keep every connection busy. */
+  /** Measures capacity in requests per second: a few callers keep every connection busy. */
   private async capacity(callers: readonly Caller[]): Promise<number> {
     const until = performance.now() + Number(this.durationMs) / 2;
     let count = 0;
@@ -93,7 +93,10 @@
     return count / (Number(this.durationMs) / 2000);
   }
 
-  /** Sends at a fixed rate whatever the answers; a caller with a request under way is passed over. */
+  /**
+   * Offers open-loop load: sends at a fixed rate regardless of replies, each request on a caller without
+   * one in flight. A request for which no caller is free counts as unsent.
+   */
   private async offer(
     callers: readonly Caller[],
     policy: OverloadPolicy,
@@ -153,6 +156,6 @@
   }
 }
 
-/** As many as the connections of the home, so that no policy refuses any. */
+/** Equals the number of connections of the home, so that no policy refuses a request. */
 const CAPACITY_CALLERS = 10;
 const SETTLE_MS = 6000;
--- a/packages/measure/src/commands/plot-command.ts
+++ b/packages/measure/src/commands/plot-command.ts
@@ -13,7 +13,7 @@
 
 type ResultLine = Readonly<Record<string, string | number>>;
 
-/** Draws results. */
+/** Draws result lines; exits with 1 when no line has the event. */
 export class PlotCommand extends Command {
   static override paths = [['plot']];
 
--- a/packages/measure/src/commands/replicas-command.ts
+++ b/packages/measure/src/commands/replicas-command.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure -- replicas`: the share of reads that replicas serve at several lags, against
- * baselines in the same run; no session may miss its write.
+ * `npm run measure -- replicas`: measures the share of reads served by replicas at several replication
+ * lags, compared with baselines in the same run; no session may miss its own write.
  */
 import type { ReadChoice, ReadInput, ReadRouting } from '@gladespool/coordination';
 import { CoveringReplicaRouting, PrimaryRouting, SeededRandom } from '@gladespool/coordination';
@@ -12,7 +12,7 @@
 import { LatencyRecorder, round } from '../load/latency-recorder.js';
 import { printFields } from './print-fields.js';
 
-/** Baseline: after a write the session reads from the primary for a fixed time. */
+/** Baseline: after a write, the session reads from the primary for a fixed time. */
 class StickyRouting implements ReadRouting {
   private readonly wroteAt = new Map<number, number>();
 
@@ -29,7 +29,7 @@
   }
 }
 
-/** Requests of a run. */
+/** Request counts of a run. */
 interface Counts {
   reads: number;
   writes: number;
@@ -37,7 +37,7 @@
   refused: number;
 }
 
-/** A policy under a session rule. */
+/** A routing policy combined with a session rule. */
 interface Compared {
   readonly name: string;
   readonly session: string;
@@ -47,7 +47,7 @@
 const STICKY_MS = 200;
 const SESSIONS = 24;
 const READS_PER_WRITE = 19;
-/** Longest pause between reads of a session; 100 ms on average. */
+/** Maximum pause between reads of a session; 100 ms on average. */
 const THINK_MS = 200;
 
 /** Measures the share of reads on replicas. */
@@ -156,7 +156,7 @@
   }
 }
 
-/** Statements served by replicas and by primaries, over all hosts. */
+/** Number of statements served by replicas and by primaries, summed over all hosts. */
 async function servedCounts(deployment: Deployment): Promise<readonly [number, number]> {
   let replica = 0;
   let primary = 0;
--- a/packages/measure/src/commands/rollout-command.ts
+++ b/packages/measure/src/commands/rollout-command.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure -- rollout`: the time until a bundle is in force on every host that can be
- * reached, with the store healthy, slow, out for a while, and a zone cut off.
+ * `npm run measure -- rollout`: measures the time until a bundle is in force on every reachable host,
+ * with a healthy store, a slow store, a store outage, and a partitioned zone.
  */
 import { StoreFault } from '@gladespool/standins';
 import { Command, Option } from 'clipanion';
@@ -9,11 +9,11 @@
 import { LatencyRecorder, round } from '../load/latency-recorder.js';
 import { printFields } from './print-fields.js';
 
-/** Conditions of a rollout. */
+/** Conditions under which a rollout is measured. */
 enum Condition {
   Healthy = 'healthy',
   Slow = 'store-slow-2s',
-  /** The store goes out just after the head was written, before relays could read the parts. */
+  /** The store becomes unavailable just after the head is written, before relays can read the parts. */
   OutAfterPublish = 'store-out-after-publish',
   ZoneCut = 'zone-cut',
 }
@@ -21,7 +21,7 @@
 const LIMIT_MS = 120_000;
 const CUT_ZONE = 'az3';
 
-/** Measures rollouts. */
+/** Measures rollout times by condition. */
 export class RolloutCommand extends Command {
   static override paths = [['rollout']];
 
--- a/packages/measure/src/commands/sessions-command.ts
+++ b/packages/measure/src/commands/sessions-command.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure -- sessions`: a session writes on one host and reads at once on a host of another
- * zone with its token, many times over lagging replicas; no read may miss its write.
+ * `npm run measure -- sessions`: a session repeatedly writes on one host and, with its token, reads
+ * immediately on a host of another zone while replicas lag; no read may miss its write.
  */
 import { Command, Option } from 'clipanion';
 import { Deployment } from '../embedded/deployment.js';
@@ -9,7 +9,7 @@
 import { LatencyRecorder } from '../load/latency-recorder.js';
 import { printFields } from './print-fields.js';
 
-/** Checks session consistency through the driver. */
+/** Checks session consistency through the driver; exits with 1 when a read missed its write. */
 export class SessionsCommand extends Command {
   static override paths = [['sessions']];
 
--- a/packages/measure/src/commands/stability-command.ts
+++ b/packages/measure/src/commands/stability-command.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure -- stability`: promotions that nothing called for, under delay spikes and pauses
- * that no primary is lost by, at several suspicion times.
+ * `npm run measure -- stability`: counts unnecessary promotions at several suspicion times, under delay
+ * spikes and pauses too short to count as the loss of a primary.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { SeededRandom } from '@gladespool/coordination';
@@ -18,7 +18,7 @@
 const PAUSE_MS = [50, 200] as const;
 const SUSPECT_AFTER_MS = [100, 300, 1000];
 
-/** Measures false promotions. */
+/** Measures false promotions by suspicion time. */
 export class StabilityCommand extends Command {
   static override paths = [['stability']];
 
--- a/packages/measure/src/embedded-main.ts
+++ b/packages/measure/src/embedded-main.ts
@@ -1,5 +1,6 @@
 /**
- * `npm start`: an embedded deployment of Ramdin's shape in one process, until SIGINT or SIGTERM.
+ * `npm start`: runs an embedded deployment in one process, by default of Ramdin's shape, until SIGINT or
+ * SIGTERM.
  */
 import { enableDefaultLogs, formatEvent } from '@gladespool/observability';
 import { FaultServer } from '@gladespool/standins';
--- a/packages/measure/src/measure-main.ts
+++ b/packages/measure/src/measure-main.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run measure -- EXPERIMENT`: the experiments behind docs/MEASUREMENTS.md.
+ * `npm run measure -- EXPERIMENT`: runs the experiments whose results are in docs/MEASUREMENTS.md.
  */
 import { Builtins, Cli } from 'clipanion';
 import { ChaosCommand } from './commands/chaos-command.js';
