--- a/packages/measure/src/commands/drain-command.ts
+++ b/packages/measure/src/commands/drain-command.ts
@@ -8,12 +8,12 @@
 import { RAMDIN } from '../embedded/shape.js';
 import { Caller } from '../load/caller.js';
 import { round } from '../load/latency-recorder.js';
-import { wordsOf } from './error-words.js';
+import { summarizeError } from './error-summary.js';
 import { printFields } from './print-fields.js';
 
 const GROUP = 'ledger1';
 const CALLERS = 18;
-const WARM_MS = 1000;
+const WARM_UP_MS = 1000;
 
 /** Measures errors and duration of planned stops and kills. */
 export class DrainCommand extends Command {
@@ -37,11 +37,11 @@
     const deployment = new Deployment({ shape, seed: turn, basePort: 0, latency: true });
     await deployment.start();
     const load = new SteadyLoad(deployment);
-    await new Promise((resolve) => setTimeout(resolve, WARM_MS));
+    await new Promise((resolve) => setTimeout(resolve, WARM_UP_MS));
     const startedAt = performance.now();
     await this.stop(deployment, kind);
     const stoppedMs = performance.now() - startedAt;
-    await new Promise((resolve) => setTimeout(resolve, WARM_MS));
+    await new Promise((resolve) => setTimeout(resolve, WARM_UP_MS));
     await load.end();
     printFields(this.context.stdout, 'drain', {
       kind,
@@ -121,8 +121,9 @@
         await caller.query('SELECT state FROM deeds WHERE id = $1', [`${prefix}-${i}`]);
         this.answered += 2;
       } catch (error) {
-        const words = wordsOf(error) || (error instanceof Error ? error.message : 'unknown');
-        this.errors.set(words, (this.errors.get(words) ?? 0) + 1);
+        const summary =
+          summarizeError(error) || (error instanceof Error ? error.message : 'unknown');
+        this.errors.set(summary, (this.errors.get(summary) ?? 0) + 1);
       }
     }
     await caller.end().catch(() => undefined);
--- a/packages/measure/src/commands/error-words.ts
+++ b/packages/measure/src/commands/error-summary.ts
@@ -3,7 +3,7 @@
  */
 
 /** Fields of an error, separated by spaces; empty for an error that has none of them. */
-export function wordsOf(error: unknown): string {
+export function summarizeError(error: unknown): string {
   const { code = '', detail = '' } = error as { code?: string; detail?: string };
   const reason = /reason=(\S+)/.exec(detail)?.[1] ?? '';
   const ran = /ran=(\S+)/.exec(detail)?.[1] ?? '';
--- a/packages/measure/src/commands/failover-command.ts
+++ b/packages/measure/src/commands/failover-command.ts
@@ -11,7 +11,7 @@
 import { HARBORLINE, RAMDIN } from '../embedded/shape.js';
 import { Caller } from '../load/caller.js';
 import { LatencyRecorder } from '../load/latency-recorder.js';
-import { toldBy } from '../load/session-workload.js';
+import { outcomeOfError } from '../load/session-workload.js';
 import { Told } from '../history/history.js';
 import { printFields } from './print-fields.js';
 
@@ -45,8 +45,8 @@
 };
 const WRITERS = 6;
 const WRITE_DEADLINE_MS = 1000;
-const LEAST_GAP_MS = 20;
-const HEAL_LIMIT_MS = 60_000;
+const MIN_GAP_MS = 20;
+const RECOVERY_TIMEOUT_MS = 60_000;
 
 interface WriteLog {
   readonly row: string;
@@ -91,7 +91,7 @@
     await deployment.start();
     const run = new FailoverRun(deployment, new SeededRandom(Number(this.seed)));
     const gaps = new LatencyRecorder();
-    for (let i = 0; i < Number(this.losses); i += 1) gaps.record(await run.loseOnce(kind));
+    for (let i = 0; i < Number(this.losses); i += 1) gaps.record(await run.measureLoss(kind));
     const lost = await run.finish();
     const { p50, p99, max, count } = gaps.summary();
     printFields(this.context.stdout, 'failover', {
@@ -140,17 +140,17 @@
    *
    * @returns longest gap between confirmed writes since the loss, milliseconds
    */
-  async loseOnce(kind: Loss): Promise<number> {
+  async measureLoss(kind: Loss): Promise<number> {
     await pause(this.random.integer(200, 400));
     const term = this.deployment.primaryOf(this.group).node.term;
     const lostAt = performance.now();
-    const heal = await this.lose(kind);
-    await until(() => this.deployment.primaryOf(this.group).node.term > term, HEAL_LIMIT_MS);
-    const resumed = (): boolean => this.confirmedAfter(lostAt).length > WRITERS * 3;
-    await until(() => resumed() && this.gapSince(lostAt) > LEAST_GAP_MS, HEAL_LIMIT_MS);
-    const gap = this.gapSince(lostAt);
+    const heal = await this.injectLoss(kind);
+    await until(() => this.deployment.primaryOf(this.group).node.term > term, RECOVERY_TIMEOUT_MS);
+    const resumed = (): boolean => this.confirmationTimesSince(lostAt).length > WRITERS * 3;
+    await until(() => resumed() && this.longestGapSince(lostAt) > MIN_GAP_MS, RECOVERY_TIMEOUT_MS);
+    const gap = this.longestGapSince(lostAt);
     await heal();
-    await until(() => this.isWhole(), HEAL_LIMIT_MS);
+    await until(() => this.hasRecovered(), RECOVERY_TIMEOUT_MS);
     return gap;
   }
 
@@ -158,7 +158,7 @@
   async finish(): Promise<number> {
     this.stopped = true;
     await Promise.all(this.writers);
-    await until(() => this.isWhole(), HEAL_LIMIT_MS);
+    await until(() => this.hasRecovered(), RECOVERY_TIMEOUT_MS);
     const rows = new Set<string>();
     for (const entry of this.deployment.primaryOf(this.group).node.entries) {
       for (const change of entry.changes) rows.add(change.key);
@@ -166,30 +166,30 @@
     return this.log.filter((entry) => entry.told === Told.Confirmed && !rows.has(entry.row)).length;
   }
 
-  private confirmedAfter(since: number): readonly number[] {
+  private confirmationTimesSince(since: number): readonly number[] {
     const ended = this.log
       .filter((entry) => entry.told === Told.Confirmed && entry.endedAt >= since)
       .map((entry) => entry.endedAt);
     return ended.sort((a, b) => a - b);
   }
 
-  private gapSince(since: number): number {
+  private longestGapSince(since: number): number {
     let last = since;
     let longest = 0;
-    for (const at of this.confirmedAfter(since)) {
+    for (const at of this.confirmationTimesSince(since)) {
       longest = Math.max(longest, at - last);
       last = at;
     }
     return longest;
   }
 
-  private isWhole(): boolean {
+  private hasRecovered(): boolean {
     const nodes = this.deployment.upstreamsOf(this.group).map((server) => server.node);
     const terms = new Set(nodes.map((node) => node.report().received.term));
     return terms.size === 1 && nodes.filter((node) => node.canWrite).length === 1;
   }
 
-  private async lose(kind: Loss): Promise<() => Promise<void>> {
+  private async injectLoss(kind: Loss): Promise<() => Promise<void>> {
     const { network, options } = this.deployment;
     const server = this.deployment.primaryOf(this.group);
     const { id } = server.node;
@@ -237,8 +237,8 @@
 
   private async writeMany(caller: Caller): Promise<void> {
     for (let i = 0; i < WRITES_PER_CONNECTION; i += 1) {
-      const goesOn = await this.writeOnce(caller);
-      if (!goesOn || this.stopped || caller.ended) return;
+      const succeeded = await this.writeOnce(caller);
+      if (!succeeded || this.stopped || caller.ended) return;
     }
   }
 
@@ -256,12 +256,12 @@
   private async writeOnce(caller: Caller): Promise<boolean> {
     this.sequence += 1;
     const row = `f${this.sequence}`;
-    const marks = `/*deadline_ms='${WRITE_DEADLINE_MS}'*/`;
+    const comment = `/*deadline_ms='${WRITE_DEADLINE_MS}'*/`;
     let told = Told.Confirmed;
     try {
-      await caller.query(`INSERT INTO rows (id, owner) VALUES ('${row}', 'w') ${marks}`);
+      await caller.query(`INSERT INTO rows (id, owner) VALUES ('${row}', 'w') ${comment}`);
     } catch (error) {
-      told = toldBy(error);
+      told = outcomeOfError(error);
     }
     this.log.push({ row, told, endedAt: performance.now() });
     if (told === Told.Confirmed) return true;
--- a/packages/measure/src/commands/overhead-command.ts
+++ b/packages/measure/src/commands/overhead-command.ts
@@ -136,11 +136,11 @@
     const host = deployment.hosts[0];
     if (host === undefined) return;
     for (const count of IDLE_CALLERS) {
-      const before = heldBytes();
+      const before = usedBytes();
       const worker = idleWorker(host.callers.port, count);
-      await until(() => host.callers.callers >= count, IDLE_LIMIT_MS);
+      await until(() => host.callers.callers >= count, IDLE_LOGIN_TIMEOUT_MS);
       await new Promise((resolve) => setTimeout(resolve, SETTLE_MS));
-      const perCaller = (heldBytes() - before) / count / BYTES_PER_KB;
+      const perCaller = (usedBytes() - before) / count / BYTES_PER_KB;
       printFields(this.context.stdout, 'idle', { callers: count, kb_each: round(perCaller) });
       await worker.terminate();
       await until(() => host.callers.callers === 0);
@@ -148,10 +148,10 @@
   }
 }
 
-const IDLE_LIMIT_MS = 120_000;
+const IDLE_LOGIN_TIMEOUT_MS = 120_000;
 const SETTLE_MS = 1000;
 
-function heldBytes(): number {
+function usedBytes(): number {
   setFlagsFromString('--expose_gc');
   const collect = runInNewContext('gc') as () => void;
   collect();
--- a/packages/measure/src/commands/overload-command.ts
+++ b/packages/measure/src/commands/overload-command.ts
@@ -8,7 +8,7 @@
 import { Caller } from '../load/caller.js';
 import { LatencyRecorder, round } from '../load/latency-recorder.js';
 import { printFields } from './print-fields.js';
-import { wordsOf } from './error-words.js';
+import { summarizeError } from './error-summary.js';
 
 /** An overload policy. */
 interface OverloadPolicy {
@@ -18,14 +18,14 @@
   readonly deadlineMs: number;
 }
 
-const PATIENCE_MS = 500;
+const CALLER_TIMEOUT_MS = 500;
 const SERVICE_MS = 20;
 const CALLERS = 600;
 const GROUP = 'ledger1';
 const FACTORS = [0.5, 1, 2, 5, 10];
 const RECOVERY_FACTOR = 0.5;
 const POLICIES: readonly OverloadPolicy[] = [
-  { name: 'deadline-aware', maxWaiting: 1000, deadlineMs: PATIENCE_MS },
+  { name: 'deadline-aware', maxWaiting: 1000, deadlineMs: CALLER_TIMEOUT_MS },
   { name: 'unbounded-queue', maxWaiting: 100_000, deadlineMs: 60_000 },
   { name: 'fixed-limit', maxWaiting: 4, deadlineMs: 60_000 },
 ];
@@ -126,12 +126,12 @@
         () => {
           const latency = performance.now() - sentAt;
           accepted.record(latency);
-          if (latency <= PATIENCE_MS) counts.good += 1;
+          if (latency <= CALLER_TIMEOUT_MS) counts.good += 1;
           else counts.late += 1;
         },
         (error: unknown) => {
-          const words = wordsOf(error);
-          refusals.set(words, (refusals.get(words) ?? 0) + 1);
+          const summary = summarizeError(error);
+          refusals.set(summary, (refusals.get(summary) ?? 0) + 1);
         },
       );
       running.push(request.finally(() => free.push(caller)));
--- a/packages/measure/src/commands/replicas-command.ts
+++ b/packages/measure/src/commands/replicas-command.ts
@@ -38,7 +38,7 @@
 }
 
 /** A routing policy combined with a session rule. */
-interface Compared {
+interface ComparedPolicy {
   readonly name: string;
   readonly session: string;
   readonly create: () => ReadRouting;
@@ -64,7 +64,7 @@
   seed = Option.String('--seed', '1');
 
   async execute(): Promise<number> {
-    const policies: readonly Compared[] = [
+    const policies: readonly ComparedPolicy[] = [
       { name: 'covering', session: 'own-writes', create: () => new CoveringReplicaRouting() },
       { name: 'covering', session: 'monotonic', create: () => new CoveringReplicaRouting() },
       { name: 'sticky-200ms', session: 'own-writes', create: () => new StickyRouting(STICKY_MS) },
@@ -76,7 +76,7 @@
     return 0;
   }
 
-  private async measure(lagMs: number, policy: Compared): Promise<void> {
+  private async measure(lagMs: number, policy: ComparedPolicy): Promise<void> {
     const shape = this.shapeName === RAMDIN.name ? RAMDIN : HARBORLINE;
     const seed = Number(this.seed);
     const { session } = policy;
--- a/packages/measure/src/commands/rollout-command.ts
+++ b/packages/measure/src/commands/rollout-command.ts
@@ -18,7 +18,7 @@
   ZoneCut = 'zone-cut',
 }
 
-const LIMIT_MS = 120_000;
+const TIMEOUT_MS = 120_000;
 const CUT_ZONE = 'az3';
 
 /** Measures rollout times by condition. */
@@ -44,8 +44,8 @@
 
   private async measure(deployment: Deployment, condition: Condition): Promise<void> {
     const times = new LatencyRecorder();
-    const lasting = condition === Condition.OutAfterPublish;
-    const rounds = lasting ? 1 : Number(this.rounds);
+    const isOutage = condition === Condition.OutAfterPublish;
+    const rounds = isOutage ? 1 : Number(this.rounds);
     for (let i = 0; i < rounds; i += 1) times.record(await this.rollOut(deployment, condition));
     const { count, p50, p99, max } = times.summary();
     printFields(this.context.stdout, 'rollout', {
@@ -55,7 +55,7 @@
       p50_ms: p50,
       p99_ms: p99,
       max_ms: max,
-      outage_ms: lasting ? Number(this.outageMs) : undefined,
+      outage_ms: isOutage ? Number(this.outageMs) : undefined,
     });
   }
 
@@ -94,6 +94,6 @@
 
   private inForce(deployment: Deployment, hosts: Deployment['hosts']): Promise<void> {
     const version = deployment.publishedVersion;
-    return until(() => hosts.every((host) => host.bundle.inForce >= version), LIMIT_MS);
+    return until(() => hosts.every((host) => host.bundle.inForce >= version), TIMEOUT_MS);
   }
 }
--- a/packages/measure/src/commands/stability-command.ts
+++ b/packages/measure/src/commands/stability-command.ts
@@ -13,7 +13,7 @@
 
 const GROUP = 'ledger1';
 const WRITERS = 6;
-const SPIKE_SHARE = 0.05;
+const SPIKE_PROBABILITY = 0.05;
 const SPIKE_MS = [50, 250] as const;
 const PAUSE_MS = [50, 200] as const;
 const SUSPECT_AFTER_MS = [100, 300, 1000];
@@ -44,17 +44,17 @@
       settings: { upstream: { suspect_after_ms: suspectAfterMs, status_interval_ms: 50 } },
     });
     await deployment.start();
-    const usual = deployment.network.latency;
+    const baseLatency = deployment.network.latency;
     deployment.network.latency = (from, to) => {
-      const spike = random.unit() < SPIKE_SHARE ? random.integer(...SPIKE_MS) : 0;
-      return usual(from, to) + spike;
+      const spike = random.unit() < SPIKE_PROBABILITY ? random.integer(...SPIKE_MS) : 0;
+      return baseLatency(from, to) + spike;
     };
     const until = performance.now() + Number(this.durationMs);
     const latency = new LatencyRecorder();
     const writers = Array.from({ length: WRITERS }, (_, index) =>
       this.write(deployment, index, until, latency),
     );
-    const pauses = await this.pauseNowAndThen(deployment, random, until);
+    const pauses = await this.pauseUpstreams(deployment, random, until);
     await Promise.all(writers);
     const { count, p50, p99 } = latency.summary();
     printFields(this.context.stdout, 'stability', {
@@ -90,7 +90,7 @@
     await caller.end();
   }
 
-  private async pauseNowAndThen(
+  private async pauseUpstreams(
     deployment: Deployment,
     random: SeededRandom,
     until: number,
--- a/packages/measure/src/embedded-main.ts
+++ b/packages/measure/src/embedded-main.ts
@@ -32,7 +32,7 @@
     enableDefaultLogs(process.env);
     const shape = SHAPES.get(this.shapeName);
     const basePort = Number(this.basePort);
-    const isPort = Number.isInteger(basePort) && basePort >= 0 && basePort <= LAST_BASE_PORT;
+    const isPort = Number.isInteger(basePort) && basePort >= 0 && basePort <= MAX_BASE_PORT;
     if (shape === undefined || !isPort) {
       this.context.stderr.write('allowed: --shape ramdin|harborline, --base-port 0 to 65000\n');
       return EXIT_BAD_ARGUMENT;
@@ -45,7 +45,7 @@
       await deployment.start();
       await faults.listen(ADDRESS, basePort === 0 ? 0 : basePort + FAULT_PORT_OFFSET);
     } catch (error) {
-      return this.reportStart(error, deployment);
+      return this.reportStartFailure(error, deployment);
     }
     this.announce(deployment, faults.port);
     await stopped;
@@ -55,9 +55,9 @@
     return 0;
   }
 
-  private async reportStart(error: unknown, deployment: Deployment): Promise<number> {
-    const taken = error instanceof Error && 'code' in error && error.code === 'EADDRINUSE';
-    if (!taken) throw error;
+  private async reportStartFailure(error: unknown, deployment: Deployment): Promise<number> {
+    const isPortTaken = error instanceof Error && 'code' in error && error.code === 'EADDRINUSE';
+    if (!isPortTaken) throw error;
     this.context.stderr.write(
       `${error.message}: a port is taken; choose others with --base-port N\n`,
     );
@@ -85,7 +85,7 @@
   }
 }
 
-const LAST_BASE_PORT = 65_000;
+const MAX_BASE_PORT = 65_000;
 const FAULT_PORT_OFFSET = 200;
 
 function untilSignal(): Promise<void> {
--- a/packages/measure/src/embedded/deployment.ts
+++ b/packages/measure/src/embedded/deployment.ts
@@ -94,11 +94,11 @@
     this.refreshHostList();
     if (latency) this.network.latency = (from, to) => this.latencyBetween(from, to);
     await this.publish(this.bundleText({}));
-    await this.settled();
+    await this.waitUntilReady();
   }
 
   /** Waits until every host has the latest bundle, a record of each group and all members in its view. */
-  async settled(): Promise<void> {
+  async waitUntilReady(): Promise<void> {
     const { groups } = this.options.shape;
     await until(() =>
       this.hosts.every(
@@ -169,19 +169,19 @@
     operator: string = this.operator,
     signer: string = this.operator,
   ): Promise<void> {
-    const former = this.operator;
+    const previousOperator = this.operator;
     this.operator = operator;
-    const named = text.replaceAll(`[operator.${former}]`, `[operator.${operator}]`);
-    const own = this.keysOf(former).publicKey.toString('base64');
-    const wanted = this.keysOf(operator).publicKey.toString('base64');
-    const bundle = readBundle('embedded', named.replaceAll(own, wanted))._unsafeUnwrap();
+    const renamed = text.replaceAll(`[operator.${previousOperator}]`, `[operator.${operator}]`);
+    const previousKey = this.keysOf(previousOperator).publicKey.toString('base64');
+    const nextKey = this.keysOf(operator).publicKey.toString('base64');
+    const bundle = readBundle('embedded', renamed.replaceAll(previousKey, nextKey))._unsafeUnwrap();
     const store = this.storeClient();
     const signatures = [this.sign(bundle, signer)];
     const change = `embedded/${bundle.version}`;
     const outcome = await publishBundle(store, { bundle, signatures, change });
     await store.close();
     const { kind } = outcome._unsafeUnwrap();
-    if (kind === 'refused') throw new Error('bundle refused');
+    if (kind === 'refused') throw new Error('the store refused the bundle');
     this.bundleVersion = bundle.version;
   }
 
@@ -344,12 +344,12 @@
 
 const STORE_TIMEOUT_MS = 2000;
 const UNTIL_POLL_MS = 10;
-const UNTIL_LIMIT_MS = 30_000;
+const UNTIL_TIMEOUT_MS = 30_000;
 
 /** Polls a condition every 10 ms until it holds; throws after `limitMs`, by default 30 s. */
 export async function until(
   condition: () => boolean | Promise<boolean>,
-  limitMs: number = UNTIL_LIMIT_MS,
+  limitMs: number = UNTIL_TIMEOUT_MS,
 ): Promise<void> {
   const end = performance.now() + limitMs;
   while (!(await condition())) {
--- a/packages/measure/src/load/caller.ts
+++ b/packages/measure/src/load/caller.ts
@@ -107,7 +107,7 @@
   }
 
   /** Passes all further received bytes to `receive` instead of the driver. */
-  takeOver(receive: (chunk: Buffer) => void): void {
+  receiveRaw(receive: (chunk: Buffer) => void): void {
     this.stream.removeAllListeners('data');
     this.stream.on('data', receive);
   }
--- a/packages/measure/src/load/session-workload.ts
+++ b/packages/measure/src/load/session-workload.ts
@@ -21,14 +21,14 @@
 }
 
 const TABLE = 'rows';
-const SWITCH_SHARE = 0.3;
-const READ_SHARE = 0.5;
-const MARKED_SHARE = 0.4;
-const REPEAT_SHARE = 0.3;
-const TRANSACTION_SHARE = 0.2;
+const SWITCH_PROBABILITY = 0.3;
+const READ_PROBABILITY = 0.5;
+const REQUEST_ID_PROBABILITY = 0.4;
+const REPEAT_PROBABILITY = 0.3;
+const TRANSACTION_PROBABILITY = 0.2;
 const RECONNECT_MS = 20;
-const CONNECT_LIMIT_MS = 2000;
-const ANSWER_MARGIN_MS = 5000;
+const CONNECT_TIMEOUT_MS = 2000;
+const REPLY_MARGIN_MS = 5000;
 
 /** Sends the requests of one session and records their outcomes. */
 export class SessionWorkload {
@@ -44,7 +44,7 @@
   /** Sends requests until `stopped` returns true. */
   async run(stopped: () => boolean): Promise<void> {
     while (!stopped()) {
-      const caller = await this.connected();
+      const caller = await this.ensureConnected();
       if (caller === undefined) {
         await pause(RECONNECT_MS);
         continue;
@@ -56,18 +56,19 @@
 
   private async step(caller: Caller): Promise<void> {
     const { random } = this.options;
-    if (this.confirmed.length > 0 && random.unit() < READ_SHARE) await this.read(caller);
+    if (this.confirmed.length > 0 && random.unit() < READ_PROBABILITY) await this.read(caller);
     else await this.write(caller);
     this.token = caller.token === '' ? this.token : caller.token;
-    if (caller.ended || random.unit() < SWITCH_SHARE) await this.disconnect();
+    if (caller.ended || random.unit() < SWITCH_PROBABILITY) await this.disconnect();
   }
 
   private async read(caller: Caller): Promise<void> {
     const { random, name, record, deadlineMs } = this.options;
-    const newest = random.unit() < REPEAT_SHARE ? random.integer(0, this.confirmed.length - 1) : -1;
+    const newest =
+      random.unit() < REPEAT_PROBABILITY ? random.integer(0, this.confirmed.length - 1) : -1;
     const row = this.confirmed.at(newest) ?? '';
     const sql = `SELECT owner FROM ${TABLE} WHERE id = $1 /*deadline_ms='${deadlineMs}'*/`;
-    const found = await this.ask(caller, sql, [row]);
+    const found = await this.tryQuery(caller, sql, [row]);
     if (found === undefined) return;
     record({ kind: 'read', session: name, row, foundOwner: found[0]?.owner ?? undefined });
   }
@@ -76,16 +77,16 @@
     const { random } = this.options;
     this.count += 1;
     const request =
-      random.unit() < MARKED_SHARE ? `${this.options.name}-q${this.count}` : undefined;
-    if (request === undefined && random.unit() < TRANSACTION_SHARE) {
+      random.unit() < REQUEST_ID_PROBABILITY ? `${this.options.name}-q${this.count}` : undefined;
+    if (request === undefined && random.unit() < TRANSACTION_PROBABILITY) {
       await this.transaction(caller);
       return;
     }
     const told = await this.send(caller, `${this.options.name}-${this.count}-a`, request);
-    const repeats = told === Told.Unknown || random.unit() < REPEAT_SHARE;
+    const repeats = told === Told.Unknown || random.unit() < REPEAT_PROBABILITY;
     if (request === undefined || !repeats) return;
     await this.disconnect();
-    const other = await this.connected();
+    const other = await this.ensureConnected();
     if (other !== undefined)
       await this.send(other, `${this.options.name}-${this.count}-b`, request);
   }
@@ -93,12 +94,12 @@
   private async send(caller: Caller, row: string, request: string | undefined): Promise<Told> {
     const { name, deadlineMs } = this.options;
     const id = request === undefined ? '' : `,request_id='${request}',repeatable='no'`;
-    const marks = `/*deadline_ms='${deadlineMs}'${id}*/`;
-    const sql = `INSERT INTO ${TABLE} (id, owner) VALUES ('${row}', '${name}') ${marks}`;
+    const comment = `/*deadline_ms='${deadlineMs}'${id}*/`;
+    const sql = `INSERT INTO ${TABLE} (id, owner) VALUES ('${row}', '${name}') ${comment}`;
     const told = await this.outcome(caller, async () => {
       await caller.query(sql);
     });
-    this.note(row, request, told);
+    this.recordWrite(row, request, told);
     return told;
   }
 
@@ -113,12 +114,12 @@
       committing = true;
       await caller.query(`COMMIT /*deadline_ms='${deadlineMs}'*/`);
     });
-    const never = told === Told.Unknown && !committing;
-    this.note(row, undefined, never ? Told.NotRun : told);
+    const certainlyNotRun = told === Told.Unknown && !committing;
+    this.recordWrite(row, undefined, certainlyNotRun ? Told.NotRun : told);
     if (told !== Told.Confirmed) await this.disconnect();
   }
 
-  private note(row: string, request: string | undefined, told: Told): void {
+  private recordWrite(row: string, request: string | undefined, told: Told): void {
     const { name, record } = this.options;
     record({ kind: 'write', session: name, row, request, told });
     if (told === Told.Confirmed && request === undefined) this.confirmed.push(row);
@@ -126,34 +127,34 @@
 
   private async outcome(caller: Caller, run: () => Promise<void>): Promise<Told> {
     try {
-      await this.withinTime(run());
+      await this.withTimeout(run());
       this.token = caller.token === '' ? this.token : caller.token;
       return Told.Confirmed;
     } catch (error) {
-      return toldBy(error);
+      return outcomeOfError(error);
     }
   }
 
-  private async ask(
+  private async tryQuery(
     caller: Caller,
     sql: string,
     values: readonly string[],
   ): Promise<Awaited<ReturnType<Caller['query']>> | undefined> {
     try {
-      return await this.withinTime(caller.query(sql, values));
+      return await this.withTimeout(caller.query(sql, values));
     } catch {
       return undefined;
     }
   }
 
   /** Rejects and counts a reply that does not arrive within the deadline plus a margin. */
-  private async withinTime<Value>(answer: Promise<Value>): Promise<Value> {
+  private async withTimeout<Value>(answer: Promise<Value>): Promise<Value> {
     let timer: NodeJS.Timeout | undefined;
     const late = new Promise<never>((_resolve, reject) => {
       timer = setTimeout(() => {
         this.unanswered += 1;
-        reject(new Error('no answer'));
-      }, this.options.deadlineMs + ANSWER_MARGIN_MS);
+        reject(new Error('no reply within the deadline plus margin'));
+      }, this.options.deadlineMs + REPLY_MARGIN_MS);
     });
     try {
       return await Promise.race([answer, late]);
@@ -162,7 +163,7 @@
     }
   }
 
-  private async connected(): Promise<Caller | undefined> {
+  private async ensureConnected(): Promise<Caller | undefined> {
     if (this.caller !== undefined && !this.caller.ended) return this.caller;
     const ports = this.options.ports();
     const port = ports[this.options.random.integer(0, ports.length - 1)];
@@ -170,7 +171,7 @@
     try {
       const { group } = this.options;
       const opening = Caller.connect({ port, group, token: this.token });
-      const limit = pause(CONNECT_LIMIT_MS).then(() => undefined);
+      const limit = pause(CONNECT_TIMEOUT_MS).then(() => undefined);
       this.caller = await Promise.race([opening, limit]);
       if (this.caller === undefined) void opening.then((late) => late.end()).catch(() => undefined);
     } catch {
@@ -190,7 +191,7 @@
  * Outcome of a write that failed with an error: the `ran` field of the proxy's error detail if present;
  * otherwise an error with an SQLSTATE means not run, and any other error means unknown.
  */
-export function toldBy(error: unknown): Told {
+export function outcomeOfError(error: unknown): Told {
   if (!(error instanceof Error)) return Told.Unknown;
   const { detail, code } = error as { detail?: string; code?: string };
   const ran = /ran=(\w+)/.exec(detail ?? '')?.[1];
--- a/packages/measure/tests/deployment-world.ts
+++ b/packages/measure/tests/deployment-world.ts
@@ -4,7 +4,7 @@
 import { After, setDefaultTimeout } from '@cucumber/cucumber';
 import type { Host } from '@gladespool/proxy';
 import type { SettingsOverride } from '../src/embedded/deployment.js';
-import { wordsOf } from '../src/commands/error-words.js';
+import { summarizeError } from '../src/commands/error-summary.js';
 import { Deployment } from '../src/embedded/deployment.js';
 import { RAMDIN } from '../src/embedded/shape.js';
 import { Caller } from '../src/load/caller.js';
@@ -102,7 +102,7 @@
     await run;
     return 'ok';
   } catch (error) {
-    return wordsOf(error);
+    return summarizeError(error);
   }
 }
 
--- a/packages/measure/tests/extended-driver.ts
+++ b/packages/measure/tests/extended-driver.ts
@@ -19,7 +19,7 @@
   const answers: Buffer[] = [];
   let left = readies;
   return new Promise((resolve) => {
-    caller.takeOver((chunk) => {
+    caller.receiveRaw((chunk) => {
       for (const message of splitter.push(chunk).unwrapOr([])) {
         answers.push(Buffer.from(message));
         if (message[0] === BackendType.ReadyForQuery) left -= 1;
--- a/packages/measure/tests/operations.steps.ts
+++ b/packages/measure/tests/operations.steps.ts
@@ -18,12 +18,12 @@
   splitBundle,
 } from '@gladespool/protocol';
 import { StoreFault } from '@gladespool/standins';
-import { wordsOf } from '../src/commands/error-words.js';
+import { summarizeError } from '../src/commands/error-summary.js';
 import { generate } from 'selfsigned';
 import { Deployment, until } from '../src/embedded/deployment.js';
 import { Told } from '../src/history/history.js';
 import { Caller } from '../src/load/caller.js';
-import { toldBy } from '../src/load/session-workload.js';
+import { outcomeOfError } from '../src/load/session-workload.js';
 import type { DeploymentWorld } from './deployment-world.js';
 import { callerOn, deploymentOf, GROUP, resultOf, timesInLog } from './deployment-world.js';
 import { fetchByPortal, pipelineNamed } from './extended-driver.js';
@@ -83,8 +83,8 @@
       load.confirmed.push(row);
       await caller.query('SELECT state FROM deeds WHERE id = $1', [row]);
     } catch (error) {
-      load.errors.push(wordsOf(error) || 'reconnect');
-      if (wordsOf(error) !== '' && toldBy(error) === Told.Unknown) load.unknown += 1;
+      load.errors.push(summarizeError(error) || 'reconnect');
+      if (summarizeError(error) !== '' && outcomeOfError(error) === Told.Unknown) load.unknown += 1;
     }
   }
 }
