--- a/packages/measure/tests/deployment-world.ts
+++ b/packages/measure/tests/deployment-world.ts
@@ -1,5 +1,5 @@
 /**
- * What scenarios on an embedded deployment share: its start with quick settings, and its end.
+ * Shared fixture of scenarios on an embedded deployment: starts it with short timings and stops it.
  */
 import { After, setDefaultTimeout } from '@cucumber/cucumber';
 import type { Host } from '@gladespool/proxy';
@@ -9,21 +9,21 @@
 import { RAMDIN } from '../src/embedded/shape.js';
 import { Caller } from '../src/load/caller.js';
 
-/** Group of the scenarios. */
+/** The only group of the deployment. */
 export const GROUP = 'ledger1';
-/** Deadline long enough for any promotion of a scenario, milliseconds. */
+/** Deadline that exceeds the duration of any promotion in a scenario, milliseconds. */
 export const LONG_DEADLINE_MS = 20_000;
 
 const STEP_TIMEOUT_MS = 60_000;
 const SEED = 7;
-const QUICK: SettingsOverride = {
+const SHORT_TIMINGS: SettingsOverride = {
   peer: { heartbeat_ms: 100, expire_ms: 600 },
   host_list: { interval_ms: 200 },
   caller: { login_timeout_ms: 1500 },
   upstream: { suspect_after_ms: 400, status_interval_ms: 50, status_timeout_ms: 200 },
 };
 
-/** World of a scenario on a deployment. */
+/** Cucumber world of a scenario on a deployment. */
 export interface DeploymentWorld {
   running?: Deployment | undefined;
   callers: Caller[];
@@ -40,14 +40,14 @@
   await running.stop();
 });
 
-/** Starts the deployment of a scenario. */
+/** Starts the deployment of a scenario; `overrides` replaces whole sections of the settings. */
 export async function startDeployment(
   world: DeploymentWorld,
   hostsPerZone = 2,
-  more: SettingsOverride = {},
+  overrides: SettingsOverride = {},
 ): Promise<Deployment> {
   const shape = { ...RAMDIN, groups: [GROUP], hostsPerZone };
-  const settings = { ...QUICK, ...more };
+  const settings = { ...SHORT_TIMINGS, ...overrides };
   const deployment = new Deployment({ shape, seed: SEED, basePort: 0, latency: false, settings });
   world.running = deployment;
   world.callers = [];
@@ -55,13 +55,13 @@
   return deployment;
 }
 
-/** The scenario's deployment. */
+/** Returns the deployment of a scenario; throws if none was started. */
 export function deploymentOf(world: DeploymentWorld): Deployment {
   if (world.running === undefined) throw new Error('no deployment');
   return world.running;
 }
 
-/** Connects a caller to a host. */
+/** Connects a caller to a host; the caller is closed after the scenario. */
 export async function callerOn(
   world: DeploymentWorld,
   host: Host | undefined,
@@ -77,7 +77,7 @@
   return caller;
 }
 
-/** Hosts of the zone that holds the primary, and of the others. */
+/** Hosts in the zone of the primary (`near`), hosts in other zones (`far`), and the zone of the primary. */
 export function hostsByPrimary(deployment: Deployment): {
   readonly near: readonly Host[];
   readonly far: readonly Host[];
@@ -90,13 +90,13 @@
   return { near, far, az };
 }
 
-/** Cuts a zone from the others and from the platform. */
+/** Partitions a zone from the other zones and from the platform. */
 export function isolate(deployment: Deployment, az: string): void {
   const { zones } = deployment.options.shape;
   deployment.network.isolate(az, [...zones.filter((zone) => zone !== az), 'platform']);
 }
 
-/** Result of a query: `ok`, or the words of its error. */
+/** Result of a query: `ok`, or the summary of its error. */
 export async function resultOf(run: Promise<unknown>): Promise<string> {
   try {
     await run;
@@ -106,7 +106,7 @@
   }
 }
 
-/** How often a key was written in the log of the group's primary. */
+/** Number of changes of a key in the log of the group's primary. */
 export function timesInLog(deployment: Deployment, table: string, key: string): number {
   return deployment
     .primaryOf(GROUP)
--- a/packages/measure/tests/extended-driver.ts
+++ b/packages/measure/tests/extended-driver.ts
@@ -1,6 +1,6 @@
 /**
- * A driver that speaks only the extended protocol, written with the codec of `pg-protocol`, so that
- * tests decide which messages go out and when.
+ * A driver for the extended query protocol only, built on the codec of `pg-protocol`, so that tests
+ * control which messages are sent and when.
  */
 import { firstRowOf } from '@gladespool/upstreams';
 import { BackendType, MessageSplitter, TransactionStatus } from '@gladespool/protocol';
@@ -9,7 +9,7 @@
 
 const MAX_BYTES = 1_000_000;
 
-/** Sends messages and collects the answers up to `readies` ReadyForQuery messages. */
+/** Sends messages and collects the replies until `readies` ReadyForQuery messages have arrived. */
 async function exchange(
   caller: Caller,
   messages: readonly Buffer[],
@@ -17,20 +17,20 @@
 ): Promise<readonly Buffer[]> {
   const splitter = new MessageSplitter(MAX_BYTES, 'host');
   const answers: Buffer[] = [];
-  let left = readies;
+  let remaining = readies;
   return new Promise((resolve) => {
     caller.receiveRaw((chunk) => {
       for (const message of splitter.push(chunk).unwrapOr([])) {
         answers.push(Buffer.from(message));
-        if (message[0] === BackendType.ReadyForQuery) left -= 1;
+        if (message[0] === BackendType.ReadyForQuery) remaining -= 1;
       }
-      if (left === 0) resolve(answers);
+      if (remaining === 0) resolve(answers);
     });
     caller.sendRaw(Buffer.concat(messages));
   });
 }
 
-/** Texts of the errors among the answers. */
+/** Texts of the error messages among the replies. */
 function errorsOf(answers: readonly Buffer[]): readonly string[] {
   return answers
     .filter((message) => message[0] === BackendType.Error)
@@ -44,11 +44,14 @@
 }
 
 /**
- * Writes and reads by two named statements, every request sent before any answer is read.
+ * Writes and reads with two named statements; sends all requests before reading any reply.
  *
- * @returns the values read, and the texts of errors, which tell a refused statement from a read that found nothing
+ * @returns the values read, and the texts of errors, which distinguish a refused statement from a read without result
  */
-export async function pipelineNamed(caller: Caller, count: number): Promise<readonly string[]> {
+export async function pipelineNamedStatements(
+  caller: Caller,
+  count: number,
+): Promise<readonly string[]> {
   const write = 'INSERT INTO deeds (id, state) VALUES ($1, $2)';
   const read = 'SELECT state FROM deeds WHERE id = $1';
   const messages = [
@@ -70,8 +73,8 @@
   return [...valuesOf(answers), ...errorsOf(answers)];
 }
 
-/** Fetches the rows whose key begins with `p`, `size` at a time, in one transaction. */
-export async function fetchByPortal(caller: Caller, size: number): Promise<readonly string[]> {
+/** Fetches all rows that have a state through a portal, `size` at a time, in one transaction. */
+export async function fetchThroughPortal(caller: Caller, size: number): Promise<readonly string[]> {
   await exchange(caller, [serialize.query('BEGIN')], 1);
   const text = "SELECT state FROM deeds WHERE state != ''";
   const found: string[] = [];
--- a/packages/measure/tests/faults.feature
+++ b/packages/measure/tests/faults.feature
@@ -1,4 +1,4 @@
-Feature: What callers are told under faults, and what stands in the log afterwards
+Feature: Replies to callers under faults, and the contents of the log afterwards
 
   Background:
     Given a deployment with quick settings
@@ -27,7 +27,7 @@
     When a request with an id is sent, and confirmed
     Then its id is in the ledger at once, and soon forgotten
 
-  # No acknowledgement by a superseded primary, refused means not run
+  # A superseded primary acknowledges nothing; a refused request has not run
 
   Scenario: The primary's zone is cut off while callers still reach it
     When the primary's zone is cut off
@@ -49,7 +49,7 @@
     When a session writes and the primary is stopped for good
     Then the session reads its write on every host that is left
 
-  # Whole answers
+  # Complete replies
 
   Scenario: A link with many requests in flight breaks
     When 200 callers ask for their own rows through a home that is killed
--- a/packages/measure/tests/faults.steps.ts
+++ b/packages/measure/tests/faults.steps.ts
@@ -36,16 +36,16 @@
 
 // At most once
 
-function marked(row: string): string {
-  const marks = `/*request_id='q1',repeatable='no',deadline_ms='${LONG_DEADLINE_MS}'*/`;
-  return `INSERT INTO consents (id, state) VALUES ('${row}', 'given') ${marks}`;
+function insertWithRequestId(row: string): string {
+  const comment = `/*request_id='q1',repeatable='no',deadline_ms='${LONG_DEADLINE_MS}'*/`;
+  return `INSERT INTO consents (id, state) VALUES ('${row}', 'given') ${comment}`;
 }
 
 When(/^a request with an id is sent, (.+)$/, async function (this: FaultWorld, moment: string) {
   const deployment = deploymentOf(this);
   const { near } = hostsByPrimary(deployment);
   const first = await callerOn(this, near[0]);
-  const sending = resultOf(first.query(marked('first')));
+  const sending = resultOf(first.query(insertWithRequestId('first')));
   if (moment === "and its caller's connection is lost") {
     await until(() => timesInLog(deployment, 'consents', 'first') > 0);
     await first.end();
@@ -57,7 +57,7 @@
 When('the same id is sent again on a host of another zone', async function (this: FaultWorld) {
   const { far } = hostsByPrimary(deploymentOf(this));
   const second = await callerOn(this, far[0]);
-  this.told.push(await resultOf(second.query(marked('second'))));
+  this.told.push(await resultOf(second.query(insertWithRequestId('second'))));
 });
 
 Then('the second sending is told {string}', function (this: FaultWorld, told: string) {
@@ -76,7 +76,9 @@
     callerOn(this, hosts[index % hosts.length]),
   );
   const callers = await Promise.all(opening);
-  const sendings = callers.map((caller, index) => resultOf(caller.query(marked(`r${index}`))));
+  const sendings = callers.map((caller, index) =>
+    resultOf(caller.query(insertWithRequestId(`r${index}`))),
+  );
   this.told = await Promise.all(sendings);
   this.rows = callers.map((_, index) => `r${index}`);
 });
@@ -105,7 +107,7 @@
   await until(() => tables.get('gladespool_requests', 'q1') === undefined);
 });
 
-// Cut-off zones
+// Partitioned zones
 
 When("the primary's zone is cut off", function (this: FaultWorld) {
   const deployment = deploymentOf(this);
@@ -222,7 +224,7 @@
   }
 });
 
-// Whole answers
+// Complete replies
 
 When(
   '{int} callers ask for their own rows through a home that is killed',
@@ -238,28 +240,28 @@
     const other = deployment.hosts.find(
       (host) => host !== entry && host.board.az === entry?.board.az,
     );
-    const asking = callers.map((caller, index) => askUntilServed(caller, index));
+    const queries = callers.map((caller, index) => queryUntilServed(caller, index));
     if (other !== undefined) await deployment.killHost(other);
-    this.told = (await Promise.all(asking)).flat();
+    this.told = (await Promise.all(queries)).flat();
   },
 );
 
-/** Times that each caller gets its own row; refusals come at once, so their number tells nothing. */
-const OWN_ROWS = 6;
-/** Pause of a caller that was refused, milliseconds. */
-const REFUSED_PAUSE_MS = 20;
+/** Successful reads per caller; refusals return immediately, so their number shows no progress. */
+const READS_PER_CALLER = 6;
+/** Pause after a refused request, milliseconds. */
+const RETRY_PAUSE_MS = 20;
 
-async function askUntilServed(caller: Caller, index: number): Promise<string[]> {
+async function queryUntilServed(caller: Caller, index: number): Promise<string[]> {
   const told: string[] = [];
-  while (told.filter((answer) => answer === 'own').length < OWN_ROWS) {
-    const asked = caller.query('SELECT state FROM deeds WHERE id = $1', [`d${index}`]);
-    const rows = asked.then((found) => {
+  while (told.filter((answer) => answer === 'own').length < READS_PER_CALLER) {
+    const query = caller.query('SELECT state FROM deeds WHERE id = $1', [`d${index}`]);
+    const rows = query.then((found) => {
       told.push(found.length === 1 && found[0]?.state === `own${index}` ? 'own' : 'wrong');
     });
     const result = await resultOf(rows);
     if (result === 'ok') continue;
     told.push(result);
-    await pause(REFUSED_PAUSE_MS);
+    await pause(RETRY_PAUSE_MS);
   }
   return told;
 }
--- a/packages/measure/tests/open-handles.steps.ts
+++ b/packages/measure/tests/open-handles.steps.ts
@@ -1,9 +1,9 @@
 import { AfterAll } from '@cucumber/cucumber';
 
-/** Longer than any timer that scenarios leave behind. */
+/** Exceeds any timer that scenarios leave running. */
 const GRACE_MS = 20_000;
 
-// The timer alone keeps no process alive, so it only fires when something else does after the last scenario.
+// The timer is unreferenced: it fires only when another resource keeps the process alive after the last scenario.
 AfterAll(function () {
   setTimeout(() => {
     const held = process.getActiveResourcesInfo().join(', ');
--- a/packages/measure/tests/operations.feature
+++ b/packages/measure/tests/operations.feature
@@ -1,4 +1,4 @@
-Feature: Planned stops, bundles and bad input leave callers' work alone
+Feature: Planned stops, bundle changes and bad input do not disturb callers
 
   Background:
     Given a deployment with quick settings
@@ -27,7 +27,7 @@
     When version 2 is published, and then version 1 is put back into the store by hand
     Then every host stays at version 2
 
-  Scenario Outline: Operators race or err
+  Scenario Outline: Concurrent, repeated or stale publications
     When a bundle is published <how>
     Then the outcome is "<outcome>" and the store holds version <version>
 
@@ -49,18 +49,18 @@
     And a host that starts with the first operator in its settings has version 3 in force
     And a version 4 signed by the withdrawn operator is refused by every host
 
-  Scenario: A zone cut off while bundles go on catches up
+  Scenario: A zone cut off during publications catches up
     When a zone is cut off and versions 2 and 3 are published
     Then the hosts of the zone stay at version 1 and the others have version 3
     And after healing every host has version 3 in force
 
-  Scenario: The store goes out just after a bundle was published
+  Scenario: The store fails just after a bundle was published
     When version 2 is published and the store goes down before any relay can read a part
     Then every host has version 2 in force
 
   # Bad input
 
-  Scenario Outline: What must not disturb anybody
+  Scenario Outline: Bad input of one client does not affect other callers
     When a stranger sends <input>
     Then the fault "<fault>" is counted and another caller is served
 
@@ -90,7 +90,7 @@
     Then a caller that trusts it is served over TLS, and one that trusts another is not
     And a caller without TLS is served
 
-  # The protocol as drivers speak it
+  # Protocol as used by drivers
 
   Scenario Outline: Statements that need server state
     Then "<sql>" is told "<told>" and the connection goes on
--- a/packages/measure/tests/operations.steps.ts
+++ b/packages/measure/tests/operations.steps.ts
@@ -26,7 +26,7 @@
 import { outcomeOfError } from '../src/load/session-workload.js';
 import type { DeploymentWorld } from './deployment-world.js';
 import { callerOn, deploymentOf, GROUP, resultOf, timesInLog } from './deployment-world.js';
-import { fetchByPortal, pipelineNamed } from './extended-driver.js';
+import { fetchThroughPortal, pipelineNamedStatements } from './extended-driver.js';
 
 interface Load {
   stopped: boolean;
@@ -109,7 +109,7 @@
     assert.equal(this.drained.callers.callers, 0);
     const other = this.load.errors.filter((error) => error !== allowed && error !== 'reconnect');
     assert.deepEqual(other, []);
-    assertStanding(this);
+    assertConfirmedWritesExist(this);
   },
 );
 
@@ -130,11 +130,11 @@
   async function (this: OperationsWorld) {
     await endLoad(this);
     assert.equal(this.load.unknown, 0, this.load.errors.join('; '));
-    assertStanding(this);
+    assertConfirmedWritesExist(this);
   },
 );
 
-function assertStanding(world: OperationsWorld): void {
+function assertConfirmedWritesExist(world: OperationsWorld): void {
   const keys = new Set(
     deploymentOf(world)
       .primaryOf(GROUP)
@@ -159,7 +159,7 @@
     await until(() => this.load.confirmed.length > before + 20);
     await endLoad(this);
     assert.deepEqual(this.load.errors, []);
-    assertStanding(this);
+    assertConfirmedWritesExist(this);
   },
 );
 
@@ -175,12 +175,12 @@
 
 // Bundles
 
-function versions(world: OperationsWorld): readonly number[] {
+function versionsInForce(world: OperationsWorld): readonly number[] {
   return deploymentOf(world).hosts.map((host) => host.bundle.inForce);
 }
 
-async function everyHostAt(world: OperationsWorld, version: number): Promise<void> {
-  await until(() => versions(world).every((held) => held === version));
+async function untilEveryHostAt(world: OperationsWorld, version: number): Promise<void> {
+  await until(() => versionsInForce(world).every((held) => held === version));
 }
 
 When(
@@ -190,7 +190,7 @@
     const store = deployment.storeClient();
     const first = (await store.read(BUNDLE_HEAD_KEY))._unsafeUnwrap();
     await deployment.publish(deployment.bundleText({}));
-    await everyHostAt(this, 2);
+    await untilEveryHostAt(this, 2);
     const second = (await store.read(BUNDLE_HEAD_KEY))._unsafeUnwrap();
     const expected = second?.revision ?? 0;
     await store.swap([{ key: BUNDLE_HEAD_KEY, value: first?.value ?? '', expected }]);
@@ -199,13 +199,13 @@
 );
 
 Then('every host stays at version {int}', async function (this: OperationsWorld, version: number) {
-  await everyHostAt(this, version);
+  await untilEveryHostAt(this, version);
   const deployment = deploymentOf(this);
   const fresh = await deployment.startHost('az1-fresh', 'az1');
   await until(() => fresh.board.members.length > 1);
   for (let i = 0; i < 20; i += 1) {
     await pause(20);
-    assert.ok(versions(this).every((held) => held === version || held === 0));
+    assert.ok(versionsInForce(this).every((held) => held === version || held === 0));
   }
 });
 
@@ -292,7 +292,7 @@
   async function (this: OperationsWorld) {
     const deployment = deploymentOf(this);
     await deployment.publish(deployment.bundleText({}), 'bob');
-    await everyHostAt(this, 2);
+    await untilEveryHostAt(this, 2);
     await deployment.publish(deployment.bundleText({}), 'bob');
   },
 );
@@ -300,7 +300,7 @@
 Then(
   'every host has version {int} in force',
   async function (this: OperationsWorld, version: number) {
-    await everyHostAt(this, version);
+    await untilEveryHostAt(this, version);
   },
 );
 
@@ -323,7 +323,7 @@
     assert.equal(readManifest(decodeHead(held?.value ?? '')?.manifest ?? '')?.version, 4);
     for (let i = 0; i < 20; i += 1) {
       await pause(20);
-      assert.ok(versions(this).every((version) => version === 3));
+      assert.ok(versionsInForce(this).every((version) => version === 3));
     }
   },
 );
@@ -363,7 +363,7 @@
   'after healing every host has version {int} in force',
   async function (this: OperationsWorld, version: number) {
     deploymentOf(this).network.heal();
-    await everyHostAt(this, version);
+    await untilEveryHostAt(this, version);
   },
 );
 
@@ -543,7 +543,7 @@
   'a driver pipelines {int} writes and reads of named statements',
   async function (this: OperationsWorld, count: number) {
     const caller = await callerOn(this, deploymentOf(this).hosts[0]);
-    this.found = await pipelineNamed(caller, count);
+    this.found = await pipelineNamedStatements(caller, count);
   },
 );
 
@@ -562,7 +562,7 @@
     for (let i = 0; i < count; i += 1) {
       await caller.query(`INSERT INTO deeds (id, state) VALUES ('p${i}', 'v${i}')`);
     }
-    this.found = await fetchByPortal(caller, size);
+    this.found = await fetchThroughPortal(caller, size);
   },
 );
 
--- a/packages/measure/tests/start-command.steps.ts
+++ b/packages/measure/tests/start-command.steps.ts
@@ -14,16 +14,16 @@
 
 const POLL_MS = 50;
 const STEP_LIMIT = { timeout: 120_000 };
-/** Below the ports that the system hands out itself; runs beside each other differ by process. */
+/** Below the ephemeral ports of the operating system; concurrent runs differ by process id. */
 const FIRST_PORT = 24_000;
-const PORTS_OF_RUN = 100;
-const RUNS = 80;
+const PORTS_PER_RUN = 100;
+const PORT_RANGES = 80;
 
 Given('"npm start" runs until it is ready', STEP_LIMIT, async function (this: StartWorld) {
-  this.basePort = FIRST_PORT + (process.pid % RUNS) * PORTS_OF_RUN;
+  this.basePort = FIRST_PORT + (process.pid % PORT_RANGES) * PORTS_PER_RUN;
   this.output = '';
   const args = ['start', '--silent', '--', '--base-port', String(this.basePort)];
-  // A group of its own, so that whatever it leaves behind can be ended.
+  // A separate process group, so that cleanup can end every process that npm leaves behind.
   const npm = spawn('npm', args, { stdio: ['ignore', 'pipe', 'inherit'], detached: true });
   this.npm = npm;
   npm.stdout.on('data', (chunk: Buffer) => {
@@ -62,6 +62,6 @@
   try {
     process.kill(-group, 'SIGKILL');
   } catch {
-    // Nothing of the group is left, as it should be.
+    // Expected: no process of the group is left.
   }
 });
--- a/packages/measure/tests/whole-path.feature
+++ b/packages/measure/tests/whole-path.feature
@@ -1,4 +1,4 @@
-Feature: The whole path, from a caller's driver to an upstream and back
+Feature: End to end, from a caller's driver to an upstream and back
 
   Scenario: A session reads its writes on a host of another zone
     Given an embedded deployment whose replicas lag 30 ms
--- a/packages/measure/tests/whole-path.steps.ts
+++ b/packages/measure/tests/whole-path.steps.ts
@@ -4,20 +4,20 @@
 import { Deployment } from '../src/embedded/deployment.js';
 import { RAMDIN } from '../src/embedded/shape.js';
 
-interface PathWorld {
+interface EndToEndWorld {
   deployment: Deployment | undefined;
   missed: number;
 }
 
 const GROUP = 'ledger1';
 
-After(async function (this: PathWorld) {
+After(async function (this: EndToEndWorld) {
   await this.deployment?.stop();
 });
 
 Given(
   'an embedded deployment whose replicas lag {int} ms',
-  async function (this: PathWorld, lagMs: number) {
+  async function (this: EndToEndWorld, lagMs: number) {
     const shape = { ...RAMDIN, groups: [GROUP] };
     this.deployment = new Deployment({ shape, seed: 7, basePort: 0, latency: false });
     await this.deployment.start();
@@ -27,7 +27,7 @@
 
 When(
   "a caller writes {int} rows on one host and reads each at once on another zone's host",
-  async function (this: PathWorld, count: number) {
+  async function (this: EndToEndWorld, count: number) {
     const { hosts } = this.deployment ?? { hosts: [] };
     const ports = [hosts[0], hosts.at(-1)].map((host) => host?.callers.port ?? 0);
     const writer = await Caller.connect({ port: ports[0] ?? 0, group: GROUP });
@@ -44,6 +44,6 @@
   },
 );
 
-Then('no read missed its write', function (this: PathWorld) {
+Then('no read missed its write', function (this: EndToEndWorld) {
   assert.equal(this.missed, 0);
 });
