--- a/packages/measure/src/commands/control-command.ts
+++ b/packages/measure/src/commands/control-command.ts
@@ -50,7 +50,7 @@
   }
 
   private measureBundle(groups: number): void {
-    const text = stringify(bundleOf(groups));
+    const text = stringify(createBundleContents(groups));
     const startedAt = performance.now();
     let bundle: Bundle | undefined;
     for (let i = 0; i < REPEATS; i += 1) bundle = readBundle('measure', text)._unsafeUnwrap();
@@ -132,7 +132,7 @@
 }
 
 /** Contents of a bundle whose groups are spread over seven regions with three zones each. */
-function bundleOf(groups: number): object {
+function createBundleContents(groups: number): object {
   const key = Buffer.alloc(32).toString('base64');
   const group: Record<string, object> = {};
   const upstream: Record<string, Record<string, object>> = {};
--- a/packages/measure/src/commands/failover-command.ts
+++ b/packages/measure/src/commands/failover-command.ts
@@ -124,7 +124,7 @@
     private readonly random: SeededRandom,
   ) {
     this.group = deployment.options.shape.groups[0] ?? '';
-    this.writers = Array.from({ length: WRITERS }, (_, index) => this.write(index));
+    this.writers = Array.from({ length: WRITERS }, (_, index) => this.runWriter(index));
   }
 
   get confirmed(): number {
@@ -224,7 +224,7 @@
     }
   }
 
-  private async write(index: number): Promise<void> {
+  private async runWriter(index: number): Promise<void> {
     while (!this.stopped) {
       const hosts = this.deployment.hosts;
       const port = hosts[(index + this.sequence) % hosts.length]?.callers.port ?? 0;
--- a/packages/measure/src/commands/overhead-command.ts
+++ b/packages/measure/src/commands/overhead-command.ts
@@ -64,12 +64,12 @@
     const proxy = { name: 'proxy', port, user: EMBEDDED_USER, password: EMBEDDED_PASSWORD };
     const upstream = deployment.upstreamsOf(GROUP)[0]?.port ?? 0;
     const direct = { name: 'direct', port: upstream, user: 'gladespool', password: 'upstream' };
-    await this.fill(proxy);
+    await this.insertRows(proxy);
     for (const callers of CALLERS) {
       for (let turn = 1; turn <= Number(this.rounds); turn += 1) {
         for (const side of [direct, proxy]) {
           for (const kind of ['read', 'write'] as const) {
-            const result = await this.load(side, callers, kind, turn);
+            const result = await this.runLoad(side, callers, kind, turn);
             this.print({ side: side.name, kind, callers, turn }, result);
           }
         }
@@ -77,7 +77,7 @@
     }
   }
 
-  private async fill(side: Side): Promise<void> {
+  private async insertRows(side: Side): Promise<void> {
     const caller = await Caller.connect({ ...side, group: GROUP });
     for (let i = 0; i < ROWS; i += 1) {
       await caller.query('INSERT INTO deeds (id, state) VALUES ($1, $2)', [String(i), 'signed']);
@@ -85,7 +85,7 @@
     await caller.end();
   }
 
-  private async load(
+  private async runLoad(
     side: Side,
     count: number,
     kind: 'read' | 'write',
@@ -137,7 +137,7 @@
     if (host === undefined) return;
     for (const count of IDLE_CALLERS) {
       const before = usedBytes();
-      const worker = idleWorker(host.callers.port, count);
+      const worker = startIdleCallers(host.callers.port, count);
       await until(() => host.callers.callers >= count, IDLE_LOGIN_TIMEOUT_MS);
       await new Promise((resolve) => setTimeout(resolve, SETTLE_MS));
       const perCaller = (usedBytes() - before) / count / BYTES_PER_KB;
@@ -161,7 +161,7 @@
 }
 
 /** Starts a worker thread that logs in `count` callers in batches of 50 and keeps them idle. */
-function idleWorker(port: number, count: number): Worker {
+function startIdleCallers(port: number, count: number): Worker {
   const options = { port, group: GROUP };
   const code = `
     import(${JSON.stringify(new URL('../load/caller.js', import.meta.url).href)}).then(async ({ Caller }) => {
--- a/packages/measure/src/commands/overload-command.ts
+++ b/packages/measure/src/commands/overload-command.ts
@@ -66,17 +66,17 @@
     const port = deployment.hosts[0]?.callers.port ?? 0;
     const opening = Array.from({ length: CALLERS }, () => Caller.connect({ port, group: GROUP }));
     const callers = await Promise.all(opening);
-    await this.capacity(callers);
-    const capacity = await this.capacity(callers);
+    await this.measureCapacity(callers);
+    const capacity = await this.measureCapacity(callers);
     for (const factor of [...FACTORS, RECOVERY_FACTOR]) {
-      await this.offer(callers, policy, factor, capacity);
+      await this.offerLoad(callers, policy, factor, capacity);
     }
     await Promise.all(callers.map((caller) => caller.end()));
     await deployment.stop();
   }
 
   /** Measures capacity in requests per second: a few callers keep every connection busy. */
-  private async capacity(callers: readonly Caller[]): Promise<number> {
+  private async measureCapacity(callers: readonly Caller[]): Promise<number> {
     const until = performance.now() + Number(this.durationMs) / 2;
     let count = 0;
     const busy = callers.slice(0, CAPACITY_CALLERS).map(async (caller) => {
@@ -97,7 +97,7 @@
    * Offers open-loop load: sends at a fixed rate regardless of replies, each request on a caller without
    * one in flight. A request for which no caller is free counts as unsent.
    */
-  private async offer(
+  private async offerLoad(
     callers: readonly Caller[],
     policy: OverloadPolicy,
     factor: number,
--- a/packages/measure/src/commands/replicas-command.ts
+++ b/packages/measure/src/commands/replicas-command.ts
@@ -95,7 +95,7 @@
     const counts: Counts = { reads: 0, writes: 0, missed: 0, refused: 0 };
     const until = performance.now() + Number(this.durationMs);
     const sessions = Array.from({ length: SESSIONS }, (_, index) =>
-      this.session(deployment, index, until, latency, counts),
+      this.runSession(deployment, index, until, latency, counts),
     );
     await Promise.all(sessions);
     const [replica, primary] = await servedCounts(deployment);
@@ -116,7 +116,7 @@
     await deployment.stop();
   }
 
-  private async session(
+  private async runSession(
     deployment: Deployment,
     index: number,
     until: number,
--- a/packages/measure/src/commands/rollout-command.ts
+++ b/packages/measure/src/commands/rollout-command.ts
@@ -46,7 +46,8 @@
     const times = new LatencyRecorder();
     const isOutage = condition === Condition.OutAfterPublish;
     const rounds = isOutage ? 1 : Number(this.rounds);
-    for (let i = 0; i < rounds; i += 1) times.record(await this.rollOut(deployment, condition));
+    for (let i = 0; i < rounds; i += 1)
+      times.record(await this.measureRollout(deployment, condition));
     const { count, p50, p99, max } = times.summary();
     printFields(this.context.stdout, 'rollout', {
       condition,
@@ -59,7 +60,7 @@
     });
   }
 
-  private async rollOut(deployment: Deployment, condition: Condition): Promise<number> {
+  private async measureRollout(deployment: Deployment, condition: Condition): Promise<number> {
     const { store, network } = deployment;
     if (condition === Condition.Slow) {
       store.slowMs = 1900;
@@ -77,22 +78,22 @@
     const reachable = deployment.hosts.filter(
       (host) => condition !== Condition.ZoneCut || String(host.board.az) !== CUT_ZONE,
     );
-    await this.inForce(deployment, reachable);
+    await this.waitUntilInForce(deployment, reachable);
     const elapsed = performance.now() - publishedAt;
     store.setFault(StoreFault.None);
-    if (condition === Condition.ZoneCut) await this.rejoin(deployment);
+    if (condition === Condition.ZoneCut) await this.measureRejoin(deployment);
     return elapsed;
   }
 
-  private async rejoin(deployment: Deployment): Promise<void> {
+  private async measureRejoin(deployment: Deployment): Promise<void> {
     const healedAt = performance.now();
     deployment.network.heal();
-    await this.inForce(deployment, deployment.hosts);
+    await this.waitUntilInForce(deployment, deployment.hosts);
     const ms = round(performance.now() - healedAt);
     printFields(this.context.stdout, 'rejoin', { zone: CUT_ZONE, ms });
   }
 
-  private inForce(deployment: Deployment, hosts: Deployment['hosts']): Promise<void> {
+  private waitUntilInForce(deployment: Deployment, hosts: Deployment['hosts']): Promise<void> {
     const version = deployment.publishedVersion;
     return until(() => hosts.every((host) => host.bundle.inForce >= version), TIMEOUT_MS);
   }
--- a/packages/measure/src/commands/stability-command.ts
+++ b/packages/measure/src/commands/stability-command.ts
@@ -52,7 +52,7 @@
     const until = performance.now() + Number(this.durationMs);
     const latency = new LatencyRecorder();
     const writers = Array.from({ length: WRITERS }, (_, index) =>
-      this.write(deployment, index, until, latency),
+      this.runWriter(deployment, index, until, latency),
     );
     const pauses = await this.pauseUpstreams(deployment, random, until);
     await Promise.all(writers);
@@ -70,7 +70,7 @@
     await deployment.stop();
   }
 
-  private async write(
+  private async runWriter(
     deployment: Deployment,
     index: number,
     until: number,
