--- a/packages/measure/src/commands/drain-command.ts
+++ b/packages/measure/src/commands/drain-command.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure -- drain`: a planned stop of a host and of an upstream under load, against a
- * kill in the same run.
+ * `npm run measure -- drain`: measures a planned stop of a host and of an upstream under load, compared
+ * with a kill in the same run.
  */
 import { Command, Option } from 'clipanion';
 import type { Host } from '@gladespool/proxy';
@@ -8,14 +8,14 @@
 import { RAMDIN } from '../embedded/shape.js';
 import { Caller } from '../load/caller.js';
 import { round } from '../load/latency-recorder.js';
-import { wordsOf } from './error-words.js';
+import { summarizeError } from './error-summary.js';
 import { printFields } from './print-fields.js';
 
 const GROUP = 'ledger1';
 const CALLERS = 18;
-const WARM_MS = 1000;
+const WARM_UP_MS = 1000;
 
-/** Measures planned stops. */
+/** Measures errors and duration of planned stops and kills. */
 export class DrainCommand extends Command {
   static override paths = [['drain']];
 
@@ -37,11 +37,11 @@
     const deployment = new Deployment({ shape, seed: turn, basePort: 0, latency: true });
     await deployment.start();
     const load = new SteadyLoad(deployment);
-    await new Promise((resolve) => setTimeout(resolve, WARM_MS));
+    await new Promise((resolve) => setTimeout(resolve, WARM_UP_MS));
     const startedAt = performance.now();
     await this.stop(deployment, kind);
     const stoppedMs = performance.now() - startedAt;
-    await new Promise((resolve) => setTimeout(resolve, WARM_MS));
+    await new Promise((resolve) => setTimeout(resolve, WARM_UP_MS));
     await load.end();
     printFields(this.context.stdout, 'drain', {
       kind,
@@ -79,7 +79,7 @@
   }
 }
 
-/** Callers that write and read without pause and reconnect as a driver would. */
+/** Callers that write and read continuously and reconnect like a driver. */
 class SteadyLoad {
   answered = 0;
   reconnects = 0;
@@ -121,8 +121,9 @@
         await caller.query('SELECT state FROM deeds WHERE id = $1', [`${prefix}-${i}`]);
         this.answered += 2;
       } catch (error) {
-        const words = wordsOf(error) || (error instanceof Error ? error.message : 'unknown');
-        this.errors.set(words, (this.errors.get(words) ?? 0) + 1);
+        const summary =
+          summarizeError(error) || (error instanceof Error ? error.message : 'unknown');
+        this.errors.set(summary, (this.errors.get(summary) ?? 0) + 1);
       }
     }
     await caller.end().catch(() => undefined);
--- a/packages/measure/src/commands/overhead-command.ts
+++ b/packages/measure/src/commands/overhead-command.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure -- overhead`: what the proxy adds to latency, throughput and processor time,
- * direct and through it in turn in one run, and the memory of an idle caller.
+ * `npm run measure -- overhead`: measures what the proxy costs in latency, throughput and CPU time, by
+ * alternating direct and proxied load in one run, and the memory per idle caller.
  */
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
@@ -22,7 +22,7 @@
 const SETTINGS = { caller: { max_waiting: 1000, max_callers: 20_000 } };
 const BYTES_PER_KB = 1024;
 
-/** Where requests of one side go. */
+/** Connection target of one side of the comparison. */
 interface Side {
   readonly name: string;
   readonly port: number;
@@ -30,7 +30,7 @@
   readonly password: string;
 }
 
-/** Measures overhead. */
+/** Measures the overhead of the proxy compared with direct connections. */
 export class OverheadCommand extends Command {
   static override paths = [['overhead']];
 
@@ -64,12 +64,12 @@
     const proxy = { name: 'proxy', port, user: EMBEDDED_USER, password: EMBEDDED_PASSWORD };
     const upstream = deployment.upstreamsOf(GROUP)[0]?.port ?? 0;
     const direct = { name: 'direct', port: upstream, user: 'gladespool', password: 'upstream' };
-    await this.fill(proxy);
+    await this.insertRows(proxy);
     for (const callers of CALLERS) {
       for (let turn = 1; turn <= Number(this.rounds); turn += 1) {
         for (const side of [direct, proxy]) {
           for (const kind of ['read', 'write'] as const) {
-            const result = await this.load(side, callers, kind, turn);
+            const result = await this.runLoad(side, callers, kind, turn);
             this.print({ side: side.name, kind, callers, turn }, result);
           }
         }
@@ -77,7 +77,7 @@
     }
   }
 
-  private async fill(side: Side): Promise<void> {
+  private async insertRows(side: Side): Promise<void> {
     const caller = await Caller.connect({ ...side, group: GROUP });
     for (let i = 0; i < ROWS; i += 1) {
       await caller.query('INSERT INTO deeds (id, state) VALUES ($1, $2)', [String(i), 'signed']);
@@ -85,7 +85,7 @@
     await caller.end();
   }
 
-  private async load(
+  private async runLoad(
     side: Side,
     count: number,
     kind: 'read' | 'write',
@@ -128,16 +128,19 @@
     });
   }
 
-  /** Memory that this thread's heap and buffers grow by; the callers live in a worker thread. */
+  /**
+   * Measures the growth of this thread's heap and buffers per idle caller. The callers run in a worker
+   * thread, so that their own memory does not count.
+   */
   private async measureIdle(deployment: Deployment): Promise<void> {
     const host = deployment.hosts[0];
     if (host === undefined) return;
     for (const count of IDLE_CALLERS) {
-      const before = heldBytes();
-      const worker = idleWorker(host.callers.port, count);
-      await until(() => host.callers.callers >= count, IDLE_LIMIT_MS);
+      const before = usedBytes();
+      const worker = startIdleCallers(host.callers.port, count);
+      await until(() => host.callers.callers >= count, IDLE_LOGIN_TIMEOUT_MS);
       await new Promise((resolve) => setTimeout(resolve, SETTLE_MS));
-      const perCaller = (heldBytes() - before) / count / BYTES_PER_KB;
+      const perCaller = (usedBytes() - before) / count / BYTES_PER_KB;
       printFields(this.context.stdout, 'idle', { callers: count, kb_each: round(perCaller) });
       await worker.terminate();
       await until(() => host.callers.callers === 0);
@@ -145,10 +148,10 @@
   }
 }
 
-const IDLE_LIMIT_MS = 120_000;
+const IDLE_LOGIN_TIMEOUT_MS = 120_000;
 const SETTLE_MS = 1000;
 
-function heldBytes(): number {
+function usedBytes(): number {
   setFlagsFromString('--expose_gc');
   const collect = runInNewContext('gc') as () => void;
   collect();
@@ -157,8 +160,8 @@
   return heapUsed + external;
 }
 
-/** A thread that logs in `count` callers, a few at a time, and keeps them idle. */
-function idleWorker(port: number, count: number): Worker {
+/** Starts a worker thread that logs in `count` callers in batches of 50 and keeps them idle. */
+function startIdleCallers(port: number, count: number): Worker {
   const options = { port, group: GROUP };
   const code = `
     import(${JSON.stringify(new URL('../load/caller.js', import.meta.url).href)}).then(async ({ Caller }) => {
--- a/packages/measure/src/commands/overload-command.ts
+++ b/packages/measure/src/commands/overload-command.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure -- overload`: goodput and latency at 0.5 to 10 times capacity, against an
- * unbounded queue and a fixed limit in the same run, and the recovery once load falls.
+ * `npm run measure -- overload`: measures goodput and latency at 0.5 to 10 times capacity, compared with
+ * an unbounded queue and a fixed limit in the same run, and the recovery when load drops.
  */
 import { Command, Option } from 'clipanion';
 import { Deployment } from '../embedded/deployment.js';
@@ -8,29 +8,29 @@
 import { Caller } from '../load/caller.js';
 import { LatencyRecorder, round } from '../load/latency-recorder.js';
 import { printFields } from './print-fields.js';
-import { wordsOf } from './error-words.js';
+import { summarizeError } from './error-summary.js';
 
-/** A policy towards too much load. */
+/** An overload policy. */
 interface OverloadPolicy {
   readonly name: string;
   readonly maxWaiting: number;
-  /** Deadline marked on requests; the baselines don't know the callers' patience. */
+  /** Deadline in the SQL comment of each request; the baselines do not know the callers' time-out. */
   readonly deadlineMs: number;
 }
 
-const PATIENCE_MS = 500;
+const CALLER_TIMEOUT_MS = 500;
 const SERVICE_MS = 20;
 const CALLERS = 600;
 const GROUP = 'ledger1';
 const FACTORS = [0.5, 1, 2, 5, 10];
 const RECOVERY_FACTOR = 0.5;
 const POLICIES: readonly OverloadPolicy[] = [
-  { name: 'deadline-aware', maxWaiting: 1000, deadlineMs: PATIENCE_MS },
+  { name: 'deadline-aware', maxWaiting: 1000, deadlineMs: CALLER_TIMEOUT_MS },
   { name: 'unbounded-queue', maxWaiting: 100_000, deadlineMs: 60_000 },
   { name: 'fixed-limit', maxWaiting: 4, deadlineMs: 60_000 },
 ];
 
-/** Measures overload. */
+/** Measures behaviour under overload by policy. */
 export class OverloadCommand extends Command {
   static override paths = [['overload']];
 
@@ -66,17 +66,17 @@
     const port = deployment.hosts[0]?.callers.port ?? 0;
     const opening = Array.from({ length: CALLERS }, () => Caller.connect({ port, group: GROUP }));
     const callers = await Promise.all(opening);
-    await this.capacity(callers);
-    const capacity = await this.capacity(callers);
+    await this.measureCapacity(callers);
+    const capacity = await this.measureCapacity(callers);
     for (const factor of [...FACTORS, RECOVERY_FACTOR]) {
-      await this.offer(callers, policy, factor, capacity);
+      await this.offerLoad(callers, policy, factor, capacity);
     }
     await Promise.all(callers.map((caller) => caller.end()));
     await deployment.stop();
   }
 
-  /** Requests a second when a few callers keep every connection busy. */
-  private async capacity(callers: readonly Caller[]): Promise<number> {
+  /** Measures capacity in requests per second: a few callers keep every connection busy. */
+  private async measureCapacity(callers: readonly Caller[]): Promise<number> {
     const until = performance.now() + Number(this.durationMs) / 2;
     let count = 0;
     const busy = callers.slice(0, CAPACITY_CALLERS).map(async (caller) => {
@@ -93,8 +93,11 @@
     return count / (Number(this.durationMs) / 2000);
   }
 
-  /** Sends at a fixed rate whatever the answers; a caller with a request under way is passed over. */
-  private async offer(
+  /**
+   * Offers open-loop load: sends at a fixed rate regardless of replies, each request on a caller without
+   * one in flight. A request for which no caller is free counts as unsent.
+   */
+  private async offerLoad(
     callers: readonly Caller[],
     policy: OverloadPolicy,
     factor: number,
@@ -123,12 +126,12 @@
         () => {
           const latency = performance.now() - sentAt;
           accepted.record(latency);
-          if (latency <= PATIENCE_MS) counts.good += 1;
+          if (latency <= CALLER_TIMEOUT_MS) counts.good += 1;
           else counts.late += 1;
         },
         (error: unknown) => {
-          const words = wordsOf(error);
-          refusals.set(words, (refusals.get(words) ?? 0) + 1);
+          const summary = summarizeError(error);
+          refusals.set(summary, (refusals.get(summary) ?? 0) + 1);
         },
       );
       running.push(request.finally(() => free.push(caller)));
@@ -153,6 +156,6 @@
   }
 }
 
-/** As many as the connections of the home, so that no policy refuses any. */
+/** Equals the number of connections of the home, so that no policy refuses a request. */
 const CAPACITY_CALLERS = 10;
 const SETTLE_MS = 6000;
--- a/packages/measure/src/commands/replicas-command.ts
+++ b/packages/measure/src/commands/replicas-command.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure -- replicas`: the share of reads that replicas serve at several lags, against
- * baselines in the same run; no session may miss its write.
+ * `npm run measure -- replicas`: measures the share of reads served by replicas at several replication
+ * lags, compared with baselines in the same run; no session may miss its own write.
  */
 import type { ReadChoice, ReadInput, ReadRouting } from '@gladespool/coordination';
 import { CoveringReplicaRouting, PrimaryRouting, SeededRandom } from '@gladespool/coordination';
@@ -12,7 +12,7 @@
 import { LatencyRecorder, round } from '../load/latency-recorder.js';
 import { printFields } from './print-fields.js';
 
-/** Baseline: after a write the session reads from the primary for a fixed time. */
+/** Baseline: after a write, the session reads from the primary for a fixed time. */
 class StickyRouting implements ReadRouting {
   private readonly wroteAt = new Map<number, number>();
 
@@ -29,7 +29,7 @@
   }
 }
 
-/** Requests of a run. */
+/** Request counts of a run. */
 interface Counts {
   reads: number;
   writes: number;
@@ -37,8 +37,8 @@
   refused: number;
 }
 
-/** A policy under a session rule. */
-interface Compared {
+/** A routing policy combined with a session rule. */
+interface ComparedPolicy {
   readonly name: string;
   readonly session: string;
   readonly create: () => ReadRouting;
@@ -47,7 +47,7 @@
 const STICKY_MS = 200;
 const SESSIONS = 24;
 const READS_PER_WRITE = 19;
-/** Longest pause between reads of a session; 100 ms on average. */
+/** Maximum pause between reads of a session; 100 ms on average. */
 const THINK_MS = 200;
 
 /** Measures the share of reads on replicas. */
@@ -64,7 +64,7 @@
   seed = Option.String('--seed', '1');
 
   async execute(): Promise<number> {
-    const policies: readonly Compared[] = [
+    const policies: readonly ComparedPolicy[] = [
       { name: 'covering', session: 'own-writes', create: () => new CoveringReplicaRouting() },
       { name: 'covering', session: 'monotonic', create: () => new CoveringReplicaRouting() },
       { name: 'sticky-200ms', session: 'own-writes', create: () => new StickyRouting(STICKY_MS) },
@@ -76,7 +76,7 @@
     return 0;
   }
 
-  private async measure(lagMs: number, policy: Compared): Promise<void> {
+  private async measure(lagMs: number, policy: ComparedPolicy): Promise<void> {
     const shape = this.shapeName === RAMDIN.name ? RAMDIN : HARBORLINE;
     const seed = Number(this.seed);
     const { session } = policy;
@@ -95,7 +95,7 @@
     const counts: Counts = { reads: 0, writes: 0, missed: 0, refused: 0 };
     const until = performance.now() + Number(this.durationMs);
     const sessions = Array.from({ length: SESSIONS }, (_, index) =>
-      this.session(deployment, index, until, latency, counts),
+      this.runSession(deployment, index, until, latency, counts),
     );
     await Promise.all(sessions);
     const [replica, primary] = await servedCounts(deployment);
@@ -116,7 +116,7 @@
     await deployment.stop();
   }
 
-  private async session(
+  private async runSession(
     deployment: Deployment,
     index: number,
     until: number,
@@ -156,7 +156,7 @@
   }
 }
 
-/** Statements served by replicas and by primaries, over all hosts. */
+/** Number of statements served by replicas and by primaries, summed over all hosts. */
 async function servedCounts(deployment: Deployment): Promise<readonly [number, number]> {
   let replica = 0;
   let primary = 0;
--- a/packages/measure/src/commands/rollout-command.ts
+++ b/packages/measure/src/commands/rollout-command.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure -- rollout`: the time until a bundle is in force on every host that can be
- * reached, with the store healthy, slow, out for a while, and a zone cut off.
+ * `npm run measure -- rollout`: measures the time until a bundle is in force on every reachable host,
+ * with a healthy store, a slow store, a store outage, and a partitioned zone.
  */
 import { StoreFault } from '@gladespool/standins';
 import { Command, Option } from 'clipanion';
@@ -9,19 +9,19 @@
 import { LatencyRecorder, round } from '../load/latency-recorder.js';
 import { printFields } from './print-fields.js';
 
-/** Conditions of a rollout. */
+/** Conditions under which a rollout is measured. */
 enum Condition {
   Healthy = 'healthy',
   Slow = 'store-slow-2s',
-  /** The store goes out just after the head was written, before relays could read the parts. */
+  /** The store becomes unavailable just after the head is written, before relays can read the parts. */
   OutAfterPublish = 'store-out-after-publish',
   ZoneCut = 'zone-cut',
 }
 
-const LIMIT_MS = 120_000;
+const TIMEOUT_MS = 120_000;
 const CUT_ZONE = 'az3';
 
-/** Measures rollouts. */
+/** Measures rollout times by condition. */
 export class RolloutCommand extends Command {
   static override paths = [['rollout']];
 
@@ -44,9 +44,10 @@
 
   private async measure(deployment: Deployment, condition: Condition): Promise<void> {
     const times = new LatencyRecorder();
-    const lasting = condition === Condition.OutAfterPublish;
-    const rounds = lasting ? 1 : Number(this.rounds);
-    for (let i = 0; i < rounds; i += 1) times.record(await this.rollOut(deployment, condition));
+    const isOutage = condition === Condition.OutAfterPublish;
+    const rounds = isOutage ? 1 : Number(this.rounds);
+    for (let i = 0; i < rounds; i += 1)
+      times.record(await this.measureRollout(deployment, condition));
     const { count, p50, p99, max } = times.summary();
     printFields(this.context.stdout, 'rollout', {
       condition,
@@ -55,11 +56,11 @@
       p50_ms: p50,
       p99_ms: p99,
       max_ms: max,
-      outage_ms: lasting ? Number(this.outageMs) : undefined,
+      outage_ms: isOutage ? Number(this.outageMs) : undefined,
     });
   }
 
-  private async rollOut(deployment: Deployment, condition: Condition): Promise<number> {
+  private async measureRollout(deployment: Deployment, condition: Condition): Promise<number> {
     const { store, network } = deployment;
     if (condition === Condition.Slow) {
       store.slowMs = 1900;
@@ -77,23 +78,23 @@
     const reachable = deployment.hosts.filter(
       (host) => condition !== Condition.ZoneCut || String(host.board.az) !== CUT_ZONE,
     );
-    await this.inForce(deployment, reachable);
+    await this.waitUntilInForce(deployment, reachable);
     const elapsed = performance.now() - publishedAt;
     store.setFault(StoreFault.None);
-    if (condition === Condition.ZoneCut) await this.rejoin(deployment);
+    if (condition === Condition.ZoneCut) await this.measureRejoin(deployment);
     return elapsed;
   }
 
-  private async rejoin(deployment: Deployment): Promise<void> {
+  private async measureRejoin(deployment: Deployment): Promise<void> {
     const healedAt = performance.now();
     deployment.network.heal();
-    await this.inForce(deployment, deployment.hosts);
+    await this.waitUntilInForce(deployment, deployment.hosts);
     const ms = round(performance.now() - healedAt);
     printFields(this.context.stdout, 'rejoin', { zone: CUT_ZONE, ms });
   }
 
-  private inForce(deployment: Deployment, hosts: Deployment['hosts']): Promise<void> {
+  private waitUntilInForce(deployment: Deployment, hosts: Deployment['hosts']): Promise<void> {
     const version = deployment.publishedVersion;
-    return until(() => hosts.every((host) => host.bundle.inForce >= version), LIMIT_MS);
+    return until(() => hosts.every((host) => host.bundle.inForce >= version), TIMEOUT_MS);
   }
 }
