--- a/packages/protocol/src/peer/frame.ts
+++ b/packages/protocol/src/peer/frame.ts
@@ -1,5 +1,5 @@
 /**
- * Messages between hosts: length-prefixed CBOR, validated on arrival.
+ * Messages between hosts: CBOR with a 32-bit length prefix, validated on arrival.
  */
 import {
   Access,
